--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Fleet holds the [fleet] section of a node's settings file. A node without it has no control service.
+// Fleet holds the [fleet] section of the operator's file of a node. A node without it has no control service.
 type Fleet struct {
 	ControlAddresses []string // client addresses of control instances
 	Name             string   // name of the node; empty for the platform's
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -44,7 +44,7 @@
 type keyName struct{ section, key string }
 
 // Text is a parsed INI file. Its getters return the value of a key, or the default if it is absent or invalid. Faults
-// are collected and returned by Done.
+// are collected and returned by Finish.
 type Text struct {
 	name         string
 	file         *ini.File
@@ -170,7 +170,7 @@
 }
 
 // SectionNames returns the names of the sections with a prefix, in the file's order: x for [class x] and the prefix "class".
-// Their sections count as known to Done.
+// Their sections count as known to Finish.
 func (t *Text) SectionNames(prefix string) []string {
 	var out []string
 	for _, s := range t.order {
@@ -182,7 +182,7 @@
 	return out
 }
 
-// HasSection reports whether the file has a section, which counts as known to Done.
+// HasSection reports whether the file has a section, which counts as known to Finish.
 func (t *Text) HasSection(section string) bool {
 	t.readSections[section] = true
 	return t.lines[keyName{section, ""}] > 0
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -10,7 +10,7 @@
 	LogFormat   string       // text or json
 	LogLevel    string       // minimum level of log lines
 	Pools       []Pool       // empty without pools
-	Reserve     bool         // gives a slot first to the class with the least work while it waits
+	Reserve     bool         // the handler with the lowest median work has reserved slots
 	Fleet       *Fleet       // nil without a control service
 	ResultStore *ResultStore // nil if results are lost at a restart
 
@@ -22,11 +22,11 @@
 	Handler    string
 	MinShare   float64
 	MaxShare   float64 // largest share
-	FixedLimit bool    // the limit is always Cap instead of adapting to the load
+	FixedLimit bool    // the limit is always MaxShare instead of adapting to the load
 }
 
-// ReadNode reads a node's settings file, such as deploy/node.ini, and validates it except for handler names, which
-// Against checks. An invalid file is an error of type Faults.
+// ReadNode reads the operator's file of a node, such as deploy/node.ini, and validates it except for handler names,
+// which CheckHandlers checks. An invalid file is an error of type Faults.
 func ReadNode(path string) (*Node, error) {
 	t, err := Open(path)
 	if err != nil {
--- a/internal/config/result_store.go
+++ b/internal/config/result_store.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// ResultStore holds the [kept] section of a node's settings file. A node without it holds idempotency keys in memory
-// only.
+// ResultStore holds the [kept] section of the operator's file of a node. A node without it holds idempotency keys in
+// memory only.
 type ResultStore struct {
 	Folder         string   // must survive a restart of the node
 	MaxKeys        int      // maximum number of idempotency keys
 	MaxMB          int      // maximum size of the records on disk, MiB
 	MaxResultBytes int      // maximum size of one result
 	KillAt         string   // point at which the node kills itself with SIGKILL; fault tests only
-	KillCount      int      // pass of KillAt, counted from 1, at which the node kills itself
+	KillCount      int      // pass of KillAt, counted from 1, at which the node kills itself; 0: never
 	DisabledGuards []string // fault tests only
 }
 
--- a/internal/control/consensus/api_answers.go
+++ b/internal/control/consensus/api_answers.go
@@ -47,7 +47,7 @@
 	w.Write(append(raw, '\n'))
 }
 
-// writeErrorStatus writes a Failure, with the leader's address if it is known.
+// writeErrorStatus writes an ErrorResponse, with the leader's address if it is known.
 func (a *API) writeErrorStatus(w http.ResponseWriter, code int, err error) {
 	f := ErrorResponse{Error: err.Error()}
 	v := a.group.View()
--- a/internal/control/consensus/api_fleet.go
+++ b/internal/control/consensus/api_fleet.go
@@ -13,8 +13,8 @@
 const (
 	// maxNodeBodyBytes bounds the body of a heartbeat or an operation.
 	maxNodeBodyBytes = 4 << 10
-	// heartbeatTimeout is less than the 1.5 s after which a node contacts another instance, so that the node gets an
-	// error response first.
+	// heartbeatTimeout is less than the longest response time that a node waits for (heartbeatTimeout of
+	// internal/node/agent), so that the node gets an error response first.
 	heartbeatTimeout = 1400 * time.Millisecond
 )
 
--- a/internal/control/consensus/doc.go
+++ b/internal/control/consensus/doc.go
@@ -7,7 +7,7 @@
 // through bounded queues. transport carries Raft messages and snapshots between instances; API serves clients over
 // HTTP.
 //
-// StateMachine is the replicated state: versions of the configuration document, client sessions, members, the feature
+// StateMachine is the replicated state: versions of the policy document, client sessions, members, the feature
 // level and the fleet's state of package coordinator. Only committed entries change it, in log order, so it is the same
 // at every instance after the same entry. state_machine.go applies entries; state_snapshot.go writes and reads its
 // snapshots.
--- a/internal/control/consensus/errors.go
+++ b/internal/control/consensus/errors.go
@@ -10,8 +10,8 @@
 	"umberwinch/internal/control/recovery"
 )
 
-// Errors that clients see. Those of the first group are temporary: the client may retry, at this instance or another
-// one.
+// Errors that clients see. Those of the first group end with a change outside the request: the client may retry, at
+// this instance or another one. ErrBarred lasts at this instance, ErrLogNearLimit until an operator acts.
 var (
 	// ErrBusy reports a full queue of the instance.
 	ErrBusy = errors.New("too much waits already; come again")
@@ -27,7 +27,7 @@
 		"see control status for who is on an older build")
 	// ErrLogNearLimit rejects a proposal while the log is too close to its size limit.
 	ErrLogNearLimit = errors.New("the log is near its bound; raise disk.limit_mb")
-	// ErrBarred rejects any request to an instance that is barred from the group.
+	// ErrBarred rejects a proposal at an instance that is barred from the group.
 	ErrBarred = errors.New("this instance takes no part in the group any more")
 
 	errUnauthorized      = errors.New("no token, or another one, expected the one of [clients]")
--- a/internal/control/consensus/fleet_requests.go
+++ b/internal/control/consensus/fleet_requests.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// Heartbeat passes a node's heartbeat request to the leader and waits for the response.
+// Heartbeat passes a node's heartbeat request to this instance's coordinator, which must be the leader's, and waits for
+// the response.
 func (g *Group) Heartbeat(ctx context.Context, r api.HeartbeatRequest) (api.HeartbeatResponse, error) {
 	return submit(ctx, g, func(done func(api.HeartbeatResponse, error)) {
 		g.leader.Heartbeat(g.replica.stateMachine.fleet, r, done)
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -150,7 +150,7 @@
 		g.log.WithFields(logrus.Fields{logging.PolicyVersion: v.Version, logging.Index: v.Applied}).
 			Info("new version committed")
 	}
-	// The previous view may be out of contact by now too, so the logged state is kept apart.
+	// OutOfContact of the previous view changes with time, so g.outOfContact keeps the state that was logged.
 	wasOutOfContact := g.outOfContact
 	if g.outOfContact = v.OutOfContact(); g.outOfContact && !wasOutOfContact {
 		g.log.WithField(logging.SilentMS, v.SinceLeader().Milliseconds()).Warn("out of contact with a majority")
--- a/internal/control/consensus/replica.go
+++ b/internal/control/consensus/replica.go
@@ -19,7 +19,7 @@
 	Peer                 string // address for peers
 	Listen               string // address for clients
 	Bootstrap            bool   // bootstrap a group of one in an empty folder; otherwise wait to be added to a group
-	ElectionTicks        int    // least election timeout; each is drawn from here to twice as many
+	ElectionTicks        int    // each election timeout is drawn from ElectionTicks to 2*ElectionTicks-1
 	SnapshotBytes        int    // bytes of new log entries after which a snapshot is due
 	Sizes                wal.Sizes
 	Random               func() uint64 // for ids only, never for decisions
--- a/internal/control/consensus/replica_apply.go
+++ b/internal/control/consensus/replica_apply.go
@@ -85,7 +85,7 @@
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		return r.store.installSnapshot(rd.Snapshot, rd.HardState)
 	}
-	if !rd.MustSync { // only the commit index changed, and the leader sends it again
+	if !rd.MustSync { // only the commit index changed, which a restart learns again
 		r.store.updateMemory(rd.HardState, rd.Entries)
 		return r.persistMembership(rd.CommittedEntries)
 	}
--- a/internal/control/consensus/sessions.go
+++ b/internal/control/consensus/sessions.go
@@ -18,7 +18,7 @@
 
 // sessionTable deduplicates puts: a client without a result, as after a change of leader, repeats the put under its
 // number and gets the first one's result. The least recently used sessions are evicted. That is safe: a repeated put of
-// an evicted session names an old base version and ends as a conflict.
+// an evicted session ends as expired or, if it was the session's first, as a conflict, as its base version is old.
 type sessionTable struct {
 	byName    map[string]*list.Element // of *session
 	byLastUse *list.List               // least recently used first
--- a/internal/control/consensus/versions.go
+++ b/internal/control/consensus/versions.go
@@ -14,7 +14,7 @@
 	maxVersionBytes = 64 << 20 // size of all lines
 )
 
-// Version is a committed version of the configuration document.
+// Version is a committed version of the policy document.
 type Version struct {
 	Number       uint64 `json:"version"`
 	Parent       uint64 `json:"parent"`
--- a/internal/control/document/document.go
+++ b/internal/control/document/document.go
@@ -14,7 +14,9 @@
 	MaxLevels  = 16
 )
 
-// ClassKind is whether a request of a class may be executed again, as spelled in documents.
+// ClassKind is whether a request of a class may be executed again, as spelled in documents. The kinds correspond to
+// admission.Retryable, IdempotencyKeyed and NonRetryable, and to the platform's semantics idempotent, deduplicated and
+// at_most_once.
 type ClassKind string
 
 // Kinds of classes.
--- a/internal/control/document/parse.go
+++ b/internal/control/document/parse.go
@@ -42,15 +42,15 @@
 	defaultStageTime        = time.Minute
 	defaultMaxIncrease      = 0.05 // of the fraction of requests shed or late
 
-	// defaultLease is several times as long as an election of the control service, so that an election fences no node.
+	// defaultLease has to exceed an election of the control service, so that an election fences no node.
 	// A change waits this long for nodes that are gone.
 	defaultLease = 10 * time.Second
 
-	// defaultInitialShare is below the capacity of a cold service that is slower by a factor of ten.
+	// defaultInitialShare is low, as the services of a zone that returns may be cold.
 	defaultInitialShare = 0.0625
 	// defaultMinStepTime covers several load reports of each node, which show the effect of a step.
 	defaultMinStepTime = 2 * time.Second
-	// defaultOrderTTL is many times as long as an election of the control service, so that no order expires in one.
+	// defaultOrderTTL has to exceed an election of the control service, so that no order expires in one.
 	defaultOrderTTL     = time.Minute
 	defaultMaxRampDelay = 5 * time.Minute
 )
--- a/internal/node/resultstore/decide.go
+++ b/internal/node/resultstore/decide.go
@@ -27,8 +27,8 @@
 	return WaitForResult, 0
 }
 
-// hasCapacity reports whether the index has a slot, unless the key is known, and the disk has room for the intent and
-// the largest result of one more run. Otherwise a result that can't be stored would leave its key Indeterminate.
+// hasCapacity reports whether the index has a free slot (a known key has its own) and the disk has room for the intent
+// and the largest result of one more run. Otherwise a result that can't be stored would leave its key Indeterminate.
 func (x *Index) hasCapacity(known bool) bool {
 	return (known || x.table.count < x.limits.Keys) && x.BytesUsed()+x.limits.runBytes() <= x.limits.Bytes
 }
--- a/internal/node/resultstore/doc.go
+++ b/internal/node/resultstore/doc.go
@@ -7,9 +7,9 @@
 // of its own writes.
 //
 // The lifecycle of a key: Begin returns its intent record. Once MarkDurable reports that record on disk, the request
-// may run. MarkExecuted returns the result record, which must be durable before the response is sent. MarkNotExecuted
-// closes the intent of a request that is proved not to have run. After a restart Open replays the log; a key whose
-// intent has no end record is then Indeterminate.
+// may run. MarkExecuted returns the end record; a Result record must be durable before the response is sent.
+// MarkNotExecuted closes the intent of a request that is proved not to have run. After a restart Open replays the log;
+// a key whose intent has no end record is then Indeterminate.
 //
 // Times are Milliseconds of CLOCK_BOOTTIME, which includes suspend and can't be set. A position is the number of a
 // record in the log.
--- a/internal/node/resultstore/index.go
+++ b/internal/node/resultstore/index.go
@@ -22,7 +22,7 @@
 
 	pass expiryPass // progress of Expire
 
-	ErrorsReturned uint64 // count of the verdict ReturnError
+	ErrorsReturned uint64 // number of ReturnError verdicts by Decide
 }
 
 // NewIndex returns an empty index with memory for all keys that the limits allow.
--- a/internal/node/resultstore/lifecycle.go
+++ b/internal/node/resultstore/lifecycle.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// MarkExecuted ends the run of a key and returns the record that must be durable before the response is sent, or false
-// if the key is not running. A result over the limit is recorded as a failure. The window restarts, as it counts from
-// the response.
+// MarkExecuted ends the run of a key and returns its record, or false if the key is not running. A Result record must
+// be durable before the response is sent; a Failure record need not be, as a key without an end record gets an error
+// too. A result over the limit is recorded as a failure. The window restarts, as it counts from the response.
 func (x *Index) MarkExecuted(now Milliseconds, k Key, succeeded bool, result []byte) (Record, bool) {
 	e := x.table.find(k)
 	if e == nil || e.state != Running {
--- a/internal/node/resultstore/limits.go
+++ b/internal/node/resultstore/limits.go
@@ -7,7 +7,7 @@
 
 // Ranges of the limits.
 const (
-	// maxKeys limits the memory of the index to 3.2 GB.
+	// maxKeys limits the memory of the index, of about 60 bytes per key.
 	maxKeys = 1 << 26
 	// maxResultBytes is the maximum size of one result, which is reserved for each run in flight.
 	maxResultBytes = 1 << 20
--- a/internal/node/resultstore/reopen.go
+++ b/internal/node/resultstore/reopen.go
@@ -16,8 +16,9 @@
 // probeBytes is the size of probeFile.
 const probeBytes = 4096
 
-// reopen retries until the log is open again or the store is closed; appends fail meanwhile. The failed log stays open
-// for reads until the disk accepts a write, so that completed keys still get their results. Append is never blocked.
+// reopen retries until the log is open again or the store is closed; records queued meanwhile get an error. The failed
+// log stays open for reads until the disk accepts a write, so that completed keys still get their results. Append is
+// never blocked.
 func (s *Store) reopen(failed *wal.Log) {
 	defer s.reopenTask.Done()
 	for {
--- a/internal/node/resultstore/replay.go
+++ b/internal/node/resultstore/replay.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// purgeFactor is how many times Limits.Keys keys are added between two purges of expired keys during replay: a log may
-// hold more keys than were ever live at one time.
+// purgeFactor sets the purges of expired keys during replay: one each time that purgeFactor*Limits.Keys keys were
+// added, as a log may hold more keys than were ever live at one time.
 const purgeFactor = 2
 
 // Replay applies the next record of the log; FinishReplay must follow the last one. Errors wrap ErrBodyMismatch.
--- a/internal/node/resultstore/table.go
+++ b/internal/node/resultstore/table.go
@@ -20,8 +20,8 @@
 )
 
 // table is a hash table with open addressing and linear probing. Keys are digests, so a prefix is their hash. Removal
-// shifts later keys back instead of leaving tombstones. The table is allocated at the size of its limit, so that it
-// does not grow while a node serves; unused pages take no memory.
+// shifts later keys back instead of leaving tombstones. The table is allocated for its limit of keys, up to
+// maxTableKeys, so that it does not grow while a node serves; unused pages take no memory.
 type table struct {
 	slots []entry
 	count int // used slots
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -12,8 +12,8 @@
 	"umberwinch/internal/node/wire"
 )
 
-// errTooManyPipelined ends a connection whose client sends more requests ahead of their responses than Limits.Pipelined
-// allows.
+// errTooManyPipelined ends a connection whose client sends more requests ahead of their responses than
+// Limits.MaxPipelined allows.
 var errTooManyPipelined = errors.New("too many pipelined requests")
 
 // peer is the state of a client connection that its callbacks and the loop share. It owns the descriptor, which netpoll
@@ -139,7 +139,7 @@
 }
 
 // seal stops the reading of requests and reports whether it has; it refuses while a request is pending: posted and not
-// handled, partly read, or unread in a buffer of this process or of the system. With force only complete requests
+// handled, partly read, or unread in a buffer of this process or of the system. With force only requests already posted
 // count. A close that crosses a request would leave the client unsure whether it ran. See row "idle close" in
 // docs/design/shutdown.md.
 func (p *peer) seal(force bool) bool {
--- a/internal/node/server/doc.go
+++ b/internal/node/server/doc.go
@@ -39,16 +39,21 @@
 //   - Each kernel event is handled once and in order. A command that may have been lost is sent again only after the
 //     replay of the kernel's events, and never for a run that has ended (kernel_link.go).
 //   - A call is reported as not executed only if that is proven (store_connections.go).
-//   - A connection is closed only when no response on it can be unread (client_peer.go).
+//   - A connection is closed only when no response on it can be unread, unless its client breaks the protocol or does
+//     not read, send or close within the time limits (client_peer.go).
 //   - Events of a replaced dial are ignored (links.go).
 //
 // # Decisions
 //
-// The loop carries out the controller's decisions and makes none about a submitted request. A request rejected before
-// that has not run; an attempt whose earlier run may have happened is answered 500 (request_arrival.go,
-// result_attempt.go). The loop never calls the store or starts a run on its own. While it serves, the only
-// configuration that changes is the addresses and pools of a reloaded start-up file (reload.go) and a policy version
-// adopted between two rounds (fleet_version.go).
+// The loop carries out the controller's decisions on submitted requests. Without one it answers such a request only:
+//   - when the run or the key that it waits for ends (request.go, response.go);
+//   - when the node is fenced or its zone evacuated (fleet_host.go);
+//   - when the result store can't store or return its result (result_run.go, result_attempt.go).
+//
+// A request rejected on arrival has not run; an attempt whose earlier run may have happened is answered 500
+// (request_arrival.go, result_attempt.go). The reason of a 503 or 500 is logged only at debug level. The loop never
+// calls the store or starts a run on its own. While it serves, the only configuration that changes is the addresses and
+// pools of a reloaded start-up file (reload.go) and a policy version adopted between two rounds (fleet_version.go).
 //
 // # Units
 //
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -34,6 +34,7 @@
 	}
 	l.killMargin = min(l.limits.KillMargin, l.killDelay/8)
 	l.draining, l.drainStartedAt, l.responseDeadline = true, l.now, l.now+l.killDelay-l.killMargin
+	// The controller's KillAt is killMargin before the kill, which leaves time to send the last responses.
 	l.nextRound().Drain, l.nextRound().KillAt = true, l.responseDeadline
 	l.Health(false)
 	l.timers.set(l.now, timerDrain, 0)
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -52,9 +52,9 @@
 	runOnLoop(f func())                  // queues f to be called by the loop's goroutine
 	setFleetTimer(in agent.Milliseconds) // has tick called after this time at the latest
 	refreshReadiness()                   // updates health checks and service discovery
-	rejectQueued()                       // rejects the requests that never ran
+	rejectQueued()                       // rejects the requests whose run has not started
 	activate(version *overlay.Settings)  // switches the controller to a policy version
-	runsInFlight() int                   // runs that the kernel executes
+	runsInFlight() int                   // started runs, sent to the kernel or not
 	kernelConnected() bool               // the kernel link is live
 	poolsEnabled() bool                  // run slots are divided among handlers
 	isDraining() bool                    // the process is shutting down
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -49,7 +49,7 @@
 
 func (in *inFlightRequests) isKnownKey(key string) bool { return in.idempotency.find(key) != nil }
 
-// runsInFlight counts the runs that the kernel executes.
+// runsInFlight counts the started runs, including those whose intent is not stored or whose command is not sent yet.
 func (in *inFlightRequests) runsInFlight() (n int) {
 	for h, i := in.requests.next(0); h != 0; h, i = in.requests.next(i) {
 		if in.requests.get(h).isRunning() {
@@ -59,8 +59,8 @@
 	return n
 }
 
-// rejectQueued rejects the requests that never ran, with a Retry-After time. A request that waits for the result of a
-// run in progress is left to be answered with that result.
+// rejectQueued rejects the requests whose run has not started, with a Retry-After time; reads of results go on. A
+// request that waits for the result of a run in progress is left to be answered with that result.
 func (l *loop) rejectQueued() {
 	for h, i := l.requests.next(0); h != 0; h, i = l.requests.next(i) {
 		r := l.requests.get(h)
--- a/internal/node/server/fleet_version.go
+++ b/internal/node/server/fleet_version.go
@@ -114,7 +114,7 @@
 	f.evaluateVersion(fetchedVersion{version: version, text: response.Text, settings: settings})
 }
 
-// checkVersion parses a document with the expected hash and applies it to the platform's settings.
+// checkVersion parses a document with the expected hash and applies it to the settings in effect.
 func (f *fleetAgent) checkVersion(version api.VersionHash, text string) (*overlay.Settings, error) {
 	sum := sha256.Sum256([]byte(text))
 	if hex.EncodeToString(sum[:]) != version.Hash {
@@ -136,7 +136,7 @@
 }
 
 // evaluateVersion starts the trial of a version: a shadow evaluation on recent requests, in a goroutine that ends with
-// it. A committed version needs no trial.
+// it. A committed version needs no trial and is logged as passed, with a count of 0.
 func (f *fleetAgent) evaluateVersion(v fetchedVersion) {
 	if f.versions.committed || f.config.NoTrialRun {
 		go f.host.runOnLoop(func() { f.versionEvaluated(v, shadow.Verdict{}, 0) })
--- a/internal/node/server/idempotency_table.go
+++ b/internal/node/server/idempotency_table.go
@@ -24,7 +24,8 @@
 	waiters   []handle // requests that wait for the result
 }
 
-// idempotencyTable maps the idempotency key of a request to the request that it repeats, and keeps results for repeats.
+// idempotencyTable maps the repeat key of a request (repeatKey: by its idempotency key, or by the resource key if it is
+// retryable) to the request that it repeats, and keeps results for repeats.
 // It belongs to the loop. Entries are created and renewed by the controller's Remember, and end by its Forget or when
 // their time is over. Results may be dropped early to limit memory, but never the key of a request that ran: a repeat
 // then gets an error, as it must not run.
@@ -34,7 +35,7 @@
 	resultOrder    []handle // entries by the age of their results, oldest first
 	resultBytes    int
 	maxResultBytes int
-	maxLateness    admission.Time // longest time from a repeat's arrival to its reading
+	maxLateness    admission.Time // longest timeout of a handler; a repeat is expected to be read within it of its arrival
 }
 
 func newIdempotencyTable(entries, maxResultBytes int, maxLateness admission.Time) idempotencyTable {
@@ -69,14 +70,14 @@
 	if e == nil {
 		h, v, ok := t.entries.take()
 		if !ok {
-			return // a read: checkRequest rejects keyed requests while the table is full
+			return // a retryable request: checkRequest rejects keyed requests while the table is full
 		}
 		t.byKey[key], e = h, v
 		e.key = key
 		timers.set(until+t.maxLateness, timerIdempotencyKey, h)
 	}
 	if e.holder != id && e.state >= entryDone {
-		e.state = entryQueued // a read runs again once its result is too old
+		e.state = entryQueued // a retryable request runs again once its result is too old
 		t.dropResult(e)
 	}
 	e.holder, e.expiresAt = id, until
@@ -101,9 +102,9 @@
 	return waiters
 }
 
-// expire removes an entry whose time is over, or sets its timer again. An entry outlives its time by maxLateness, the
-// longest timeout of a request: a repeat that arrived in time and is read late would run otherwise. See row "keyed
-// entry over" in docs/design/shutdown.md.
+// expire removes an entry whose time is over, or sets its timer again. An entry outlives its time by maxLateness: a
+// repeat that arrived in time and is read late would run otherwise. See row "keyed entry over" in
+// docs/design/shutdown.md.
 func (t *idempotencyTable) expire(h handle, now admission.Time, timers *timers) (waiters []handle) {
 	e := t.entries.get(h)
 	switch {
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -196,7 +196,8 @@
 // acceptSequence records the sequence number of an event and reports whether the event is to be handled. Guards against
 // ends of runs that count twice or never after a link broke: an event that was already handled is ignored, and a gap
 // closes the link, after which the missing events are replayed. A gap before the first event of a link means that the
-// kernel no longer has those events. See row "kernel link broken or moved" in docs/design/shutdown.md.
+// kernel no longer has those events; a run that ended in one of them stays in progress here. See row "kernel link
+// broken or moved" in docs/design/shutdown.md.
 func (l *loop) acceptSequence(e *wire.KernelEvent) bool {
 	k := &l.kernel
 	switch {
@@ -298,9 +299,9 @@
 	}
 }
 
-// replayTimedOut closes the link if the replay does not end in time; it is then dialed again. Guards against starting a
-// run twice: resending commands before all events are known could restart a run that has ended. See row "kernel that
-// does not answer" in docs/design/shutdown.md.
+// replayTimedOut closes the link if the replay, started by the gauges request with this number, does not end in time;
+// the link is then dialed again. Guards against starting a run twice: resending commands before all events are known
+// could restart a run that has ended. See row "kernel that does not answer" in docs/design/shutdown.md.
 func (l *loop) replayTimedOut(request handle) {
 	if k := &l.kernel; k.state == kernelReplaying && handle(k.replayRequest) == request {
 		l.closeLink(&k.link, errNoAnswer)
--- a/internal/node/server/lifecycle.go
+++ b/internal/node/server/lifecycle.go
@@ -186,7 +186,8 @@
 // mayStart reports whether Run may start the request, or resume it after a stop.
 func (s *lifecycle) mayStart() bool { return s.run == runNotStarted || s.isStopRequested() }
 
-// isOver reports whether nothing more can happen to the request, so that its slot in the request table can be reused.
+// isOver reports whether the request's slot in the request table can be reused. A disk callback that comes later finds
+// no request and is ignored.
 // Its run slot is freed by the controller at the end of the run.
 func (s *lifecycle) isOver() bool {
 	return s.response != responsePending && !s.isRunning() && s.awaits == awaitsNothing
--- a/internal/node/server/limits.go
+++ b/internal/node/server/limits.go
@@ -122,6 +122,7 @@
 	l.StoreConnections = min(max(sockets/storeDescriptorsDivisor, minStoreConnections), maxStoreConnections)
 	// A request may outlive its connection while its run ends: twice the connections, at most the slots of a table.
 	l.Requests = min(2*l.Connections, maxSlots)
+	// newTable limits the table to maxSlots entries.
 	l.IdempotencyKeys = memory / keysMemoryDivisor / idempotencyKeyBytes
 	l.ResultBytes = memory / resultsMemoryDivisor
 	l.Buffers = memory / buffersMemoryDivisor / bufferBytes
@@ -163,12 +164,11 @@
 	// Longer than a client's timeout, so that a client on a machine at a standstill keeps its connection.
 	l.WriteTimeout = 3 * time.Second
 
-	// The kernel is on this machine and answers in under a millisecond; after the timeout the controller decides
-	// without gauges.
+	// After the timeout the controller decides without gauges.
 	l.GaugesTimeout = 8 * ms
 	// Requests wait for the replay, so a kernel that hangs is dialled again.
 	l.ReplayTimeout = 500 * ms
-	// A broken link is noticed within this time; commands sent twice do no harm.
+	// A broken link is noticed within this time; a command sent twice to a run that has not ended does no harm.
 	l.AckSafetyMargin = 100 * ms
 	// The store ends calls at their deadline; this covers one that does not.
 	l.CallGrace = 200 * ms
@@ -180,7 +180,7 @@
 	l.SweepInterval = 100 * ms
 	// A message takes a few ms to arrive; its client needs a response within 3 s.
 	l.MessageTimeout = 1500 * ms
-	// Checks come about once a second.
+	// Longer than the interval between health checks, so that their connections stay open.
 	l.HealthCheckIdleTimeout = 3 * admission.Second
 	// A client with another request sends it within this time of its response.
 	l.EvictionMinIdle = 100 * ms
--- a/internal/node/server/pools.go
+++ b/internal/node/server/pools.go
@@ -11,8 +11,8 @@
 	"umberwinch/internal/node/pools"
 )
 
-// Pools give classes shares of the run slots. The operator's file is turned into a plan for package pools, and a reload
-// reconfigures them. They are off unless the file has pools.
+// Pools give handlers shares of the run slots. The operator's file is turned into a plan for package pools, and a
+// reload reconfigures them. They are off unless the file has pools.
 
 // SetOperatorConfig sets the operator's file, after a check against the handlers of the start-up file.
 func (c *StartupFile) SetOperatorConfig(own *config.Node) error {
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -34,7 +34,7 @@
 )
 
 // rejectionTable holds the name of each rejection, for logs, and its response status. 400: the request is invalid; 503:
-// nothing ran and another server may take it; 500: an earlier run may have happened, so no other server may.
+// this attempt did not run; 500: an earlier run may have happened, so no other server may run it.
 var rejectionTable = [numRejections]struct {
 	name   string
 	status int
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -51,9 +51,10 @@
 // attempt decides on an arriving attempt of a key. A status other than 0 answers it; otherwise it waits as
 // lifecycle.disk shows, or is submitted to the controller.
 //
-// An unknown key is submitted, or rejected with Retry-After if its intent could not be stored. A stored result is read
-// unless it is in memory. A key that ran or may have run without a result gets an error for the rest of its window, and
-// another body under the same key is a bad request. See resultstore.Index.Decide.
+// An unknown key is submitted, or rejected with Retry-After if its intent could not be stored. A key in flight is
+// submitted, to wait for the result. A stored result is read unless it is in memory. A key that ran or may have run
+// without a result gets an error for the rest of its window, and another body under the same key is a bad request. See
+// resultstore.Index.Decide.
 func (k *resultKeeper) attempt(h handle, r *request, response *wire.Response) (status int) {
 	if k.index == nil {
 		return k.attemptWhileOpening(h, r, response)
@@ -121,14 +122,14 @@
 	return k.reject(response)
 }
 
-// reject answers an attempt of a key that has not run: 503 with Retry-After.
+// reject counts a rejected attempt, sets its Retry-After time and returns its status.
 func (k *resultKeeper) reject(response *wire.Response) (status int) {
 	k.counts.rejected++
 	response.RetryAfterMS = k.host.retryAfter(&k.retryTimes, 0)
 	return wire.StatusServiceUnavailable
 }
 
-// fail answers an attempt of a key that ran or may have run and has no stored result: 500.
+// fail counts an attempt of a key that ran or may have run and whose result can't be returned, and returns its status.
 func (k *resultKeeper) fail() (status int) {
 	k.counts.failed++
 	return wire.StatusInternalServerError
--- a/internal/node/server/result_disk.go
+++ b/internal/node/server/result_disk.go
@@ -8,7 +8,7 @@
 const (
 	// sweepsPerPass is the number of sweeps over which all keys are checked for expiry, to keep each sweep short.
 	sweepsPerPass = 40
-	// maxExpireSteps bounds the steps of one sweep; a step takes some microseconds.
+	// maxExpireSteps bounds the steps of one sweep, which holds up the loop.
 	maxExpireSteps = 128
 )
 
--- a/internal/node/server/result_fault.go
+++ b/internal/node/server/result_fault.go
@@ -24,12 +24,12 @@
 	faultRunEnded      = "reap"    // the run ended, the result is not queued for the disk
 	faultResultDurable = "result"  // the result is durable, the request is not answered
 	faultAnswered      = "answer"  // the request was answered
-	faultBeforeSync    = "sync"    // on the store's goroutine, before a write
+	faultBeforeSync    = "sync"    // on the result store's goroutine, before a write
 	faultDiskHangs     = "hangs"   // likewise, but the write is delayed and the node survives
 )
 
 const (
-	// diskHangDuration exceeds the time that a loaded machine needs for some requests.
+	// diskHangDuration is the delay of the write at faultDiskHangs.
 	diskHangDuration = 3500 * time.Millisecond
 	// responseFlushDelay is the wait before a kill at faultBeforeSync, in which responses that don't wait for the disk are
 	// sent.
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -14,7 +14,7 @@
 }
 
 // closeResults closes the result store, within the time left before the process is killed. A goroutine discards events
-// until the process ends, as the store's goroutine would block on posting its callbacks. See row "kill near" in
+// until the process ends, as the result store's goroutine would block on posting its callbacks. See row "kill near" in
 // docs/design/shutdown.md.
 func (l *loop) closeResults() {
 	if l.results == nil {
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -38,7 +38,7 @@
 	modeReady   storeMode = "well"
 	modeFailed  storeMode = "failed"  // the disk fails, or the folder can't be opened
 	modeStalled storeMode = "stalled" // a record has waited for the disk longer than stallLimit
-	modeFull    storeMode = "full"    // no room, or a record was lost
+	modeFull    storeMode = "full"    // within fullBackoff a key found no room, or a write failed
 )
 
 const (
@@ -125,7 +125,7 @@
 	pendingSince []admission.Time // when each record that waits for the disk was queued, oldest first
 	nextPosition uint64           // lower bound of the position of the log's next record
 	releasing    bool             // expired records are being deleted
-	fullSince    admission.Time   // time of the last rejection for lack of room or of the last lost record; 0: none
+	fullSince    admission.Time   // last attempt rejected for lack of room, or last failed write; 0: none
 	openError    error            // why the folder can't be opened
 	mode         storeMode
 	retryTimes   retryafter.Spreader
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -18,8 +18,7 @@
 	// heapShareTenths is the Go heap's share of the memory limit, in tenths: the rest is for stacks, kernel memory of
 	// the process, and peaks between collections.
 	heapShareTenths = 6
-	// gcPercent halves the usual heap growth between collections, which keeps the memory in use level; the live heap is
-	// a few MB, so that collections are cheap.
+	// gcPercent halves the usual heap growth between collections, which keeps the memory in use level.
 	gcPercent = 50
 	// minIdleTimeout is the minimum of the settings' idle timeout, of which the double applies until the controller
 	// sets one.
--- a/internal/node/server/signals.go
+++ b/internal/node/server/signals.go
@@ -6,7 +6,7 @@
 )
 
 // Signals are the operator's signals to the serving program, each kind on a channel of its own, so that one kind can't
-// displace another. Read reads the start-up file again. See row "signals at once" in docs/design/shutdown.md.
+// displace another. ReadConfig reads the start-up file again. See row "signals at once" in docs/design/shutdown.md.
 type Signals struct {
 	Drain, Counters, Reload <-chan os.Signal
 	ReadConfig              func() (*StartupFile, error)
--- a/internal/node/server/startup_file.go
+++ b/internal/node/server/startup_file.go
@@ -19,8 +19,8 @@
 	Name    string  `json:"name"`
 	Listen  string  `json:"listen"`
 	Kernel  string  `json:"kernel"`
-	Control string  `json:"control"`
-	Store   string  `json:"store"` // empty in the last tier, which makes no calls
+	Control string  `json:"control"` // address of service discovery, not of the control service
+	Store   string  `json:"store"`   // empty in the last tier, which makes no calls
 	StopMS  float64 `json:"stop_ms"`
 	Limits  struct {
 		Cores    float64 `json:"cores"`
@@ -30,7 +30,7 @@
 	Settings json.RawMessage `json:"settings"`
 
 	settings *settings.Startup
-	operator *config.Node // the operator's file; nil: there is none
+	operator *config.Node // the operator's file, or defaults without one; nil only before SetOperatorConfig
 }
 
 // ReadStartupFile reads the start-up file. name and listen, from the environment, override the file's values.
--- a/internal/node/server/timers.go
+++ b/internal/node/server/timers.go
@@ -25,7 +25,7 @@
 	at      admission.Time
 	order   uint64 // order of setting, which breaks ties of at
 	kind    timerKind
-	subject handle
+	subject handle // slot of a table; of timerReplay, the number of its gauges request
 }
 
 // timers is a binary min-heap of timers by time. It belongs to the loop, which handles the timers that are due. Timers
--- a/internal/wal/commit.go
+++ b/internal/wal/commit.go
@@ -11,7 +11,7 @@
 }
 
 // Commit writes a batch and returns the number of its first entry once the batch is durable. Calls that arrive during a
-// sync share the next one. Errors are ErrFull, ErrBroken, *EntryTooLargeError and *InvalidMarkError.
+// sync share the next one. Errors are ErrFull, ErrBroken, errClosed, *EntryTooLargeError and *InvalidMarkError.
 func (l *Log) Commit(b Batch) (uint64, error) {
 	for _, e := range b.Entries {
 		if len(e) > MaxRecordBytes {
--- a/internal/wal/salvage.go
+++ b/internal/wal/salvage.go
@@ -29,12 +29,13 @@
 type SalvagedRecord struct {
 	Gap  bool
 	Mark bool // a mark; false means an entry
-	Kind int  // of a mark
+	Kind int  // of a mark; meaningless for an entry
 	Data []byte
 }
 
 // SetAside renames the segments of a damaged log, so that a new log can be created in their place, and continues an
-// interrupted salvage. It reports whether there is anything to salvage.
+// interrupted salvage, in which it also removes the segments of an unfinished new log. damaged allows it to begin a
+// salvage if none is unfinished. It reports whether there is anything to salvage.
 func SetAside(fs FS, damaged bool) (bool, error) {
 	unlock, err := fs.Lock()
 	if err != nil {
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -7,8 +7,8 @@
 	"hash/crc32"
 )
 
-// A segment file starts with a header. Its last four bytes are the checksum of the last record of the previous segment,
-// which the checksum of the first record continues. Numbers are little-endian:
+// A segment file starts with a header. The header's last four bytes are the checksum of the last record of the previous
+// segment, which the checksum of the first record continues. Numbers are little-endian:
 //
 //	"umberwal" | checksum of the rest u32 | format u32 | sequence u64 | next entry u64 | previous checksum u32
 const (
