--- a/internal/control/consensus/fleet_requests.go
+++ b/internal/control/consensus/fleet_requests.go
@@ -36,23 +36,23 @@
 // the response.
 func (g *Group) Heartbeat(ctx context.Context, r api.HeartbeatRequest) (api.HeartbeatResponse, error) {
 	return submit(ctx, g, func(done func(api.HeartbeatResponse, error)) {
-		g.leader.Heartbeat(g.replica.stateMachine.fleet, r, done)
+		g.coordinator.Heartbeat(g.replica.stateMachine.fleet, r, done)
 	})
 }
 
 // PolicyOp submits an operator's operation on a policy change and waits until it is applied.
 func (g *Group) PolicyOp(ctx context.Context, op policy.Op) (policy.Result, error) {
 	return submit(ctx, g, func(done func(policy.Result, error)) {
-		g.leader.SubmitPolicy(op, done)
-		g.tickLeader(0)
+		g.coordinator.SubmitPolicy(op, done)
+		g.tickCoordinator(0)
 	})
 }
 
 // ZoneOp submits an operator's operation on a zone and waits until it is applied.
 func (g *Group) ZoneOp(ctx context.Context, op zones.Op) (zones.Result, error) {
 	return submit(ctx, g, func(done func(zones.Result, error)) {
-		g.leader.SubmitZone(g.replica.stateMachine.fleet, op, done)
-		g.tickLeader(0)
+		g.coordinator.SubmitZone(g.replica.stateMachine.fleet, op, done)
+		g.tickCoordinator(0)
 	})
 }
 
@@ -62,7 +62,7 @@
 		if !g.knowsNode(name) {
 			return &UnknownNodeError{name}
 		}
-		return g.leader.Forget(name)
+		return g.coordinator.Forget(name)
 	})
 	if err = errors.Join(stopErr, err); err != nil {
 		return err
--- a/internal/control/consensus/fleet_views.go
+++ b/internal/control/consensus/fleet_views.go
@@ -96,10 +96,10 @@
 		Rules:            s.Policy.ActiveRules(),
 		Current:          s.Policy.Current,
 		History:          s.Policy.History,
-		IsLeader:         g.leader.Leading(),
-		HeartbeatBatches: g.leader.BatchesAppended,
-		BatchBytes:       g.leader.BatchBytes,
-		Level:            g.replica.stateMachine.level,
+		IsLeader:         g.coordinator.Leading(),
+		HeartbeatBatches: g.coordinator.BatchesAppended,
+		BatchBytes:       g.coordinator.BatchBytes,
+		Level:            g.replica.stateMachine.featureLevel,
 		Levels:           g.replica.Levels(),
 		Generation:       s.Generation,
 		StateLoss:        s.Fleet.LostState,
@@ -108,7 +108,7 @@
 		v.UnknownLeasesMS = s.Fleet.UnknownLeasesExpireMS - s.Fleet.ClockMS
 	}
 	if v.IsLeader {
-		v.WaitingFor, v.RefusedBy = s.Policy.Blockers(s.Fleet, g.leader.Reports())
+		v.WaitingFor, v.RefusedBy = s.Policy.Blockers(s.Fleet, g.coordinator.Reports())
 	}
 	for _, n := range s.Fleet.Nodes() {
 		v.Nodes++
@@ -139,7 +139,7 @@
 	}
 	v.EarlierLeases = append([]membership.Lease(nil), n.EarlierLeases...)
 	v.JoinTimesMS = append([]uint64(nil), n.JoinTimesMS...)
-	if r := g.leader.Reports()(n); r != nil {
+	if r := g.coordinator.Reports()(n); r != nil {
 		v.Reported = true
 		v.ActiveVersion, v.PreparedVersion = r.ActiveVersion, r.PreparedVersion
 		v.RefusedVersion, v.RefusalReason = r.RefusedVersion, r.RefusedReason
@@ -159,7 +159,7 @@
 		SettledEpoch: s.Zones.SettledEpoch,
 		RetryBudget:  s.Zones.RetryBudget,
 		Rules:        s.Policy.ActiveRules().Zones,
-		IsLeader:     g.leader.Leading(),
+		IsLeader:     g.coordinator.Leading(),
 		Zones:        []ZoneView{},
 	}
 	position := map[string]int{}
@@ -167,7 +167,7 @@
 		position[z.Name] = len(v.Zones)
 		v.Zones = append(v.Zones, ZoneView{Zone: *z})
 	}
-	for _, seen := range g.leader.ZoneViews() {
+	for _, seen := range g.coordinator.ZoneViews() {
 		i, known := position[seen.Zone]
 		if !known { // no operation on it was ever applied
 			i = len(v.Zones)
@@ -177,7 +177,7 @@
 		v.Zones[i].Evidence = seen
 	}
 	if i, known := position[zones.WholeFleet]; known {
-		v.Zones[i].Evidence = g.leader.FleetView()
+		v.Zones[i].Evidence = g.coordinator.FleetView()
 	}
 	return v
 }
--- a/internal/control/consensus/group.go
+++ b/internal/control/consensus/group.go
@@ -55,13 +55,13 @@
 	stopOnce sync.Once
 	err      error // set before done is closed
 
-	replica         *Replica
-	leader          *coordinator.Leader
-	leaderTickedAt  time.Time
-	stateLossLogged bool
-	outOfContact    bool // of the view published last, at the time of publishing
-	ticks           uint64
-	waiters         waiters
+	replica             *Replica
+	coordinator         *coordinator.Leader
+	coordinatorTickedAt time.Time
+	stateLossLogged     bool
+	outOfContact        bool // of the view published last, at the time of publishing
+	ticks               uint64
+	waiters             waiters
 }
 
 // queues carry work from other goroutines to the one that owns the replica.
@@ -138,13 +138,13 @@
 			events:          make(chan func(), maxInbox),
 			snapshotResults: make(chan snapshotResult, 1),
 		},
-		done:           make(chan struct{}),
-		stopping:       make(chan struct{}),
-		waiters:        waiters{puts: map[putKey][]*waiter{}, reads: map[uint64][]*waiter{}},
-		leader:         coordinator.NewLeader(faults.DisabledPolicyGuards),
-		leaderTickedAt: time.Now(),
+		done:                make(chan struct{}),
+		stopping:            make(chan struct{}),
+		waiters:             waiters{puts: map[putKey][]*waiter{}, reads: map[uint64][]*waiter{}},
+		coordinator:         coordinator.NewLeader(faults.DisabledPolicyGuards),
+		coordinatorTickedAt: time.Now(),
 	}
-	g.leader.DisabledZoneGuards = faults.DisabledZoneGuards
+	g.coordinator.DisabledZoneGuards = faults.DisabledZoneGuards
 	g.metrics = newMetrics(g)
 	return g
 }
--- a/internal/control/consensus/group_loop.go
+++ b/internal/control/consensus/group_loop.go
@@ -95,7 +95,7 @@
 func (g *Group) tick() {
 	g.ticks++
 	g.replica.Tick()
-	g.tickLeader(g.elapsedMS())
+	g.tickCoordinator(g.elapsedMS())
 	retryAfter := uint64(g.control.ElectionTicks)
 	if overdue := g.waiters.overdueReads(g.ticks, retryAfter); len(overdue) > 0 {
 		g.requestRead(overdue)
--- a/internal/control/consensus/leader.go
+++ b/internal/control/consensus/leader.go
@@ -15,14 +15,14 @@
 // it received no heartbeats in the pause, so leases must not expire by it.
 const maxTicksPerStep = 4
 
-// tickLeader advances the coordinator.Leader by ms and proposes the entries that it returns.
-func (g *Group) tickLeader(ms uint64) {
+// tickCoordinator advances the coordinator.Leader by ms and proposes the entries that it returns.
+func (g *Group) tickCoordinator(ms uint64) {
 	r := g.replica
 	fleet := r.stateMachine.fleet
-	g.leader.SetRole(r.stateMachine.cluster, r.mayCoordinate(), r.node.BasicStatus().HardState.GetTerm())
-	g.leader.Level = r.stateMachine.level
+	g.coordinator.SetRole(r.stateMachine.cluster, r.mayCoordinate(), r.node.BasicStatus().HardState.GetTerm())
+	g.coordinator.Level = r.stateMachine.featureLevel
 	g.logStateLoss()
-	for _, e := range g.leader.Tick(fleet, ms) {
+	for _, e := range g.coordinator.Tick(fleet, ms) {
 		if err := r.ProposeEntry(e.Kind, e.Body); err != nil {
 			g.log.WithField(logging.Error, err).Debug("fleet entry not proposed")
 		}
@@ -35,7 +35,8 @@
 func (r *Replica) mayCoordinate() bool {
 	status := r.node.BasicStatus()
 	m := r.stateMachine
-	return status.Lead == r.ID() && m.term == status.HardState.GetTerm() && m.level >= LevelFleet && r.Barred() == ""
+	return status.Lead == r.ID() && m.term == status.HardState.GetTerm() && m.featureLevel >= LevelFleet &&
+		r.Barred() == ""
 }
 
 // logStateLoss logs once per run that nodes have proven a loss of the group's state. It reads the state, so it logs
@@ -52,8 +53,8 @@
 
 // elapsedMS returns the milliseconds since the last call, at most maxTicksPerStep ticks.
 func (g *Group) elapsedMS() uint64 {
-	ms := time.Since(g.leaderTickedAt).Milliseconds()
-	g.leaderTickedAt = g.leaderTickedAt.Add(time.Duration(ms) * time.Millisecond)
+	ms := time.Since(g.coordinatorTickedAt).Milliseconds()
+	g.coordinatorTickedAt = g.coordinatorTickedAt.Add(time.Duration(ms) * time.Millisecond)
 	return uint64(min(ms, (maxTicksPerStep * g.control.Tick).Milliseconds()))
 }
 
@@ -77,7 +78,7 @@
 					Warn("nodes marked out: no heartbeat within the lease span")
 			}
 		}
-		g.leader.EntryApplied(fleet, outcome)
+		g.coordinator.EntryApplied(fleet, outcome)
 	}
 }
 
--- a/internal/control/consensus/replica_open.go
+++ b/internal/control/consensus/replica_open.go
@@ -41,7 +41,7 @@
 	}
 	r.peers.disabledGuards = r.config.DisabledGuards
 	r.peers.removed = func(id uint64) bool { return r.stateMachine.members.wasRemoved(id) }
-	r.peers.groupLevel = func() int { return r.stateMachine.level }
+	r.peers.groupLevel = func() int { return r.stateMachine.featureLevel }
 	if r.config.Level == 0 {
 		r.config.Level = LatestLevel
 	}
--- a/internal/control/consensus/replica_propose.go
+++ b/internal/control/consensus/replica_propose.go
@@ -29,7 +29,7 @@
 	if r.log.DiskBytes() > r.config.Sizes.MaxBytes/putReserveDivisor*(putReserveDivisor-1) {
 		return ErrLogNearLimit
 	}
-	p.Rules = rulesForLevel(r.stateMachine.level)
+	p.Rules = rulesForLevel(r.stateMachine.featureLevel)
 	raw, err := json.Marshal(p)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 	switch {
 	case r.peers.self.Barred != "":
 		return ErrBarred
-	case r.stateMachine.level < LevelFleet && kind != kindLevel:
+	case r.stateMachine.featureLevel < LevelFleet && kind != kindLevel:
 		return ErrFeatureLevel
 	case r.log.DiskBytes() > r.config.Sizes.MaxBytes/entryReserveDivisor*(entryReserveDivisor-1):
 		return ErrLogNearLimit
@@ -81,19 +81,19 @@
 // raiseLevel lets the leader raise the group's level by one once every member supports the next one. A lost proposal is
 // repeated after an election timeout.
 func (r *Replica) raiseLevel() {
-	if r.stateMachine.level >= r.config.Level || len(r.stateMachine.members.list) == 0 {
+	if r.stateMachine.featureLevel >= r.config.Level || len(r.stateMachine.members.list) == 0 {
 		return
 	}
 	if r.ticks < r.levelRaisedAtTick+r.config.ElectionTicks {
 		return
 	}
 	for _, m := range r.stateMachine.members.list {
-		if m.ID != r.ID() && r.peers.peerLevels[m.ID] <= r.stateMachine.level {
+		if m.ID != r.ID() && r.peers.peerLevels[m.ID] <= r.stateMachine.featureLevel {
 			return
 		}
 	}
 	r.levelRaisedAtTick = r.ticks
-	r.ProposeEntry(kindLevel, []byte(fmt.Sprint(r.stateMachine.level+1)))
+	r.ProposeEntry(kindLevel, []byte(fmt.Sprint(r.stateMachine.featureLevel+1)))
 }
 
 // Read requests a linearizable read. A later ready cycle returns the id, which must be unique, once the state reflects
--- a/internal/control/consensus/replica_status.go
+++ b/internal/control/consensus/replica_status.go
@@ -61,7 +61,7 @@
 		TicksSinceLeader: r.ticksSinceLeader,
 		Campaigns:        r.Campaigns,
 		Barred:           r.peers.self.Barred,
-		Level:            r.stateMachine.level,
+		Level:            r.stateMachine.featureLevel,
 	}
 	switch b.RaftState {
 	case raft.StateLeader:
--- a/internal/control/consensus/restored_group.go
+++ b/internal/control/consensus/restored_group.go
@@ -133,8 +133,8 @@
 			}
 		}
 	}
-	if m.level >= LevelFleet || len(plan.Records) > 0 || plan.Version > 0 {
-		m.level = LatestLevel // older programs can not read generations
+	if m.featureLevel >= LevelFleet || len(plan.Records) > 0 || plan.Version > 0 {
+		m.featureLevel = LatestLevel // older programs can not read generations
 	}
 	return m.fleet.BeginGeneration(plan, m)
 }
--- a/internal/control/consensus/restored_group_test.go
+++ b/internal/control/consensus/restored_group_test.go
@@ -145,10 +145,10 @@
 		t.Errorf("Evidence() = %+v, want generation 4 of group g at version 7, zone epoch 6, no uncommitted entries",
 			evidence)
 	}
-	if stored.stateMachine.level != LatestLevel || stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
+	if stored.stateMachine.featureLevel != LatestLevel || stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS < 4000 ||
 		stored.stateMachine.fleet.Fleet.Lookup("n1") == nil {
 		t.Errorf("level %d, unknown leases until %d ms, want level %d, at least 4000 ms, and node n1",
-			stored.stateMachine.level, stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS, LatestLevel)
+			stored.stateMachine.featureLevel, stored.stateMachine.fleet.Fleet.UnknownLeasesExpireMS, LatestLevel)
 	}
 	// Without the text of the decided version nothing is committed, and the next put gets a higher number.
 	records = []api.NodeRecord{{Name: "n1", Zone: "z", Group: "g", Generation: 1, MinVersion: 9}}
--- a/internal/control/consensus/state_machine.go
+++ b/internal/control/consensus/state_machine.go
@@ -15,10 +15,10 @@
 	disabledGuards Guard
 	supportedLevel int // highest feature level whose entries this program can read
 
-	cluster string
-	applied uint64 // index of the last applied entry
-	term    uint64 // of the last applied entry
-	level   int    // feature level of the group: which entries may be proposed
+	cluster      string
+	applied      uint64 // index of the last applied entry
+	term         uint64 // of the last applied entry
+	featureLevel int    // feature level of the group: which entries may be proposed
 
 	versions versionHistory
 	sessions sessionTable
@@ -48,7 +48,7 @@
 		disabledGuards: disabled,
 		supportedLevel: LatestLevel,
 		cluster:        cluster,
-		level:          LevelVersions,
+		featureLevel:   LevelVersions,
 		versions:       versionHistory{first: 1},
 		sessions:       newSessionTable(),
 		fleet:          coordinator.NewState(policy.Guard(0)),
@@ -100,7 +100,7 @@
 	if err := json.Unmarshal(body, &level); err != nil || level > m.supportedLevel {
 		return &NewerProgramError{fmt.Sprintf("a rise to level %s", body), fmt.Sprintf("%d at most", m.supportedLevel)}
 	}
-	m.level = max(m.level, level)
+	m.featureLevel = max(m.featureLevel, level)
 	return nil
 }
 
--- a/internal/control/consensus/state_snapshot.go
+++ b/internal/control/consensus/state_snapshot.go
@@ -36,12 +36,12 @@
 		Members:  m.members.list,
 		Removed:  m.members.removed,
 	}
-	if m.level > LevelVersions {
+	if m.featureLevel > LevelVersions {
 		fleet, err := m.fleet.Snapshot()
 		if err != nil {
 			return nil, err
 		}
-		header.Level, header.Fleet = m.level, fleet
+		header.Level, header.Fleet = m.featureLevel, fleet
 	}
 	var headerAndSessions bytes.Buffer
 	encoder := json.NewEncoder(&headerAndSessions)
@@ -87,10 +87,10 @@
 	m.applied, m.term = h.Applied, h.Term
 	m.versions.first = h.First
 	m.members = memberTable{h.Members, h.Removed}
-	m.level = max(LevelVersions, h.Level)
-	if m.level > LatestLevel {
+	m.featureLevel = max(LevelVersions, h.Level)
+	if m.featureLevel > LatestLevel {
 		return nil, fmt.Errorf("saved state of level %d, expected at most %d: it needs the program that made it",
-			m.level, LatestLevel)
+			m.featureLevel, LatestLevel)
 	}
 	if h.Fleet != nil {
 		if err := m.fleet.Restore(h.Fleet); err != nil {
--- a/internal/node/resultstore/expire.go
+++ b/internal/node/resultstore/expire.go
@@ -29,8 +29,8 @@
 		return removed, 0
 	}
 	p.slot = 0
-	if now < x.lossSuspicionEnd {
-		p.firstNeeded = min(p.firstNeeded, x.lossPosition)
+	if now < x.damageUntil {
+		p.firstNeeded = min(p.firstNeeded, x.damagePosition)
 	}
 	// A removal may shift a key to a slot that the pass has visited already. Without minMovedPosition, its result would
 	// be deleted inside its window.
--- a/internal/node/resultstore/index.go
+++ b/internal/node/resultstore/index.go
@@ -17,8 +17,8 @@
 	lastRecordAt   Milliseconds // during replay: time of the last record by the clock of its boot
 	keysAfterPurge int          // during replay: number of keys after the last purge
 
-	lossSuspicionEnd Milliseconds // until then the records of an unknown key may be lost to damage
-	lossPosition     uint64       // of the damage record
+	damageUntil    Milliseconds // until then the records of an unknown key may be lost to damage
+	damagePosition uint64       // of the damage record
 
 	pass expiryPass // progress of Expire
 
--- a/internal/node/resultstore/replay.go
+++ b/internal/node/resultstore/replay.go
@@ -14,7 +14,7 @@
 	}
 	x.lastRecordAt = max(x.lastRecordAt, r.At)
 	if r.Kind == Damage {
-		x.lossSuspicionEnd, x.lossPosition = r.At+r.Window, position
+		x.damageUntil, x.damagePosition = r.At+r.Window, position
 		return nil
 	}
 	e := x.table.find(r.Key)
@@ -80,8 +80,8 @@
 			e.expiresAt = now + (e.expiresAt - x.lastRecordAt)
 		}
 	}
-	if x.lossSuspicionEnd > 0 {
-		x.lossSuspicionEnd = now + max(x.lossSuspicionEnd, x.lastRecordAt) - x.lastRecordAt
+	if x.damageUntil > 0 {
+		x.damageUntil = now + max(x.damageUntil, x.lastRecordAt) - x.lastRecordAt
 	}
 	x.lastRecordAt = now
 }
@@ -98,4 +98,4 @@
 
 // KeysMayBeLost reports whether the records of an unknown key may be lost to damage, for the longest window after a
 // salvage. Retries of unknown keys must then get an error, as their first attempt may have run.
-func (x *Index) KeysMayBeLost(now Milliseconds) bool { return now < x.lossSuspicionEnd }
+func (x *Index) KeysMayBeLost(now Milliseconds) bool { return now < x.damageUntil }
--- a/internal/node/resultstore/salvage_test.go
+++ b/internal/node/resultstore/salvage_test.go
@@ -82,7 +82,7 @@
 			if !index.KeysMayBeLost(now) || !index.KeysMayBeLost(now+window-1) && boot == "boot" ||
 				index.KeysMayBeLost(now+window) {
 				t.Fatalf("seed %d, restart %d: keys may be lost until %d, want %d after %d", seed, restart,
-					index.lossSuspicionEnd, window, now)
+					index.damageUntil, window, now)
 			}
 			for k := range keys {
 				v, position := index.Decide(now, testKey(k), 1)
--- a/internal/node/server/admission_writer.go
+++ b/internal/node/server/admission_writer.go
@@ -23,7 +23,7 @@
 		r.setRun(runRunning)
 		l.counters.Runs++
 		l.trace(r, traceRun)
-		l.idempotency.runStarted(r.key, id)
+		l.idempotency.runStarted(r.repeatKey, id)
 		if r.keyed != nil {
 			l.results.begin(handle(id), r)
 			return
@@ -81,15 +81,15 @@
 
 // Remember keeps the key of a request for the given time, in which repeats of the request are recognized.
 func (l *loop) Remember(id uint32, duration admission.Time) {
-	if r := l.requests.get(handle(id)); r != nil && r.key != "" {
-		l.idempotency.remember(r.key, id, l.now+duration, &l.timers)
+	if r := l.requests.get(handle(id)); r != nil && r.repeatKey != "" {
+		l.idempotency.remember(r.repeatKey, id, l.now+duration, &l.timers)
 	}
 }
 
 // Forget removes the key of a request. Requests that wait for its result get an error.
 func (l *loop) Forget(id uint32) {
-	if r := l.requests.get(handle(id)); r != nil && r.key != "" {
-		for _, h := range l.idempotency.forget(r.key, id) {
+	if r := l.requests.get(handle(id)); r != nil && r.repeatKey != "" {
+		for _, h := range l.idempotency.forget(r.repeatKey, id) {
 			l.sharedResultReady(h, false, nil)
 		}
 	}
@@ -102,7 +102,7 @@
 	if r == nil {
 		return
 	}
-	switch e := l.idempotency.find(r.key); {
+	switch e := l.idempotency.find(r.repeatKey); {
 	case e == nil || e.state == entryFailed || e.state == entryDone && !e.hasResult:
 		l.sharedResultReady(h, false, nil)
 	case e.state == entryDone:
--- a/internal/node/server/failures_test.go
+++ b/internal/node/server/failures_test.go
@@ -272,7 +272,7 @@
 // A node killed while it writes its record keeps the previous record, and unfinished files are removed.
 func TestKillDuringRecordWriteKeepsPreviousRecord(t *testing.T) {
 	folder := t.TempDir()
-	if err := storeRecord(folder, &agent.Record{ActiveVersion: 7, ActiveText: "seven"}); err != nil {
+	if err := writeRecordFile(folder, &agent.Record{ActiveVersion: 7, ActiveText: "seven"}); err != nil {
 		t.Fatal(err)
 	}
 	next, err := json.Marshal(agent.Record{ActiveVersion: 8, ActiveText: "eight"})
--- a/internal/node/server/fleet_host.go
+++ b/internal/node/server/fleet_host.go
@@ -67,7 +67,7 @@
 		if !r.awaitsResponse() || r.run != runNotStarted || r.disk == readPending {
 			continue
 		}
-		if e := l.idempotency.find(r.key); r.awaits == awaitsOriginal && e != nil && e.state == entryRunning {
+		if e := l.idempotency.find(r.repeatKey); r.awaits == awaitsOriginal && e != nil && e.state == entryRunning {
 			continue
 		}
 		r.setAwaits(awaitsNothing)
--- a/internal/node/server/fleet_record.go
+++ b/internal/node/server/fleet_record.go
@@ -93,7 +93,7 @@
 	r.writing, r.pending = true, false
 	record, folder := r.record, f.config.Folder
 	go func() {
-		err := storeRecord(folder, &record)
+		err := writeRecordFile(folder, &record)
 		f.host.runOnLoop(func() { f.recordStored(f.clock(), record.PreparedVersion, err) })
 	}()
 }
--- a/internal/node/server/pin_record_test.go
+++ b/internal/node/server/pin_record_test.go
@@ -48,7 +48,7 @@
 			if err := os.MkdirAll(fixture, 0o755); err != nil {
 				t.Fatal(err)
 			}
-			if err := storeRecord(fixture, &c.record); err != nil {
+			if err := writeRecordFile(fixture, &c.record); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -62,7 +62,7 @@
 			t.Errorf("%s: loaded\n%s\nwant\n%s", c.name, got, want)
 		}
 		folder := t.TempDir()
-		if err := storeRecord(folder, &c.record); err != nil {
+		if err := writeRecordFile(folder, &c.record); err != nil {
 			t.Fatal(err)
 		}
 		want, err := os.ReadFile(filepath.Join(fixture, "policy.json"))
--- a/internal/node/server/record_file.go
+++ b/internal/node/server/record_file.go
@@ -16,10 +16,10 @@
 // errUnreadableRecord is the error of a record that is not valid JSON of its type.
 var errUnreadableRecord = errors.New("expected a record written by this program; remove the file to start without one")
 
-// storeRecord writes the record to a temporary file, syncs it, renames it and syncs the folder. Guards against a crash
-// during the write, after which the node would not know its active version: either the old or the new record is
+// writeRecordFile writes the record to a temporary file, syncs it, renames it and syncs the folder. Guards against a
+// crash during the write, after which the node would not know its active version: either the old or the new record is
 // complete. See row "process killed amid its record" in docs/design/shutdown.md.
-func storeRecord(folder string, record *agent.Record) error {
+func writeRecordFile(folder string, record *agent.Record) error {
 	raw, err := json.Marshal(record)
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 }
 
 // loadRecord reads the record; found is false if the folder has none. The error of a truncated or altered record wraps
-// errUnreadableRecord, and the node does not start: storeRecord leaves only complete records.
+// errUnreadableRecord, and the node does not start: writeRecordFile leaves only complete records.
 func loadRecord(folder string, record *agent.Record) (found bool, err error) {
 	file := filepath.Join(folder, recordFile)
 	raw, err := os.ReadFile(file)
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -20,7 +20,7 @@
 	keyed           *keyedRequest // nil: its result is not stored
 	buf             *buffer       // holds the message with body
 	body            []byte
-	key             string         // shared with its repeats (repeatKey); empty if it can't have any
+	repeatKey       string         // shared with its repeats (repeatKey); empty if it can't have any
 	earliestArrival admission.Time // earliest possible arrival; before arrival if the wall clock was stepped
 	arrival         admission.Time
 	deadline        admission.Time
@@ -84,7 +84,7 @@
 		}
 		ok = false // without a durable result only an error may be sent
 	}
-	waiters := l.idempotency.runEnded(r.key, uint32(h), ok, result)
+	waiters := l.idempotency.runEnded(r.repeatKey, uint32(h), ok, result)
 	switch {
 	case ok:
 		l.answer(h, r, wire.Response{Status: wire.StatusOK, Body: result})
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -69,7 +69,7 @@
 	// Bounds of its arrival at the machine; they differ if the wall clock was stepped.
 	earliest, latest admission.Time
 	validTimestamp   bool
-	key              string // shared with its repeats (repeatKey)
+	repeatKey        string // shared with its repeats (repeatKey)
 }
 
 // receiveRequest checks a request and submits it to the controller. A status other than 0 is the response status of a
@@ -122,13 +122,13 @@
 	case l.controller == nil:
 		return kernelNotUp // no run is possible
 	}
-	a.key = l.repeatKey(a.handler, a.Request)
-	if reason := l.fleet.rejection(a.handler, a.Request, a.key, response); reason != notRejected {
+	a.repeatKey = l.repeatKey(a.handler, a.Request)
+	if reason := l.fleet.rejection(a.handler, a.Request, a.repeatKey, response); reason != notRejected {
 		return reason
 	}
 	switch {
 	case l.hasIdempotencyKey(a.handler) && l.idempotency.isFull(l.limits.EventsPerRound) &&
-		l.idempotency.find(a.key) == nil:
+		l.idempotency.find(a.repeatKey) == nil:
 		return idempotencyTableFull // its repeats could not be recognized
 	case l.isRequestIDInFlight(a.ID):
 		return duplicateRequestID
@@ -190,7 +190,8 @@
 
 func (l *loop) fillRequest(r *request, e *requestRead, a *arrivingRequest) {
 	*r = request{id: string(a.ID), connection: e.peer.handle, closeAfter: a.Close, handler: a.handler, buf: e.buffer,
-		body: a.Body, key: a.key, earliestArrival: a.earliest, arrival: a.latest, deadline: l.explicitDeadline(a)}
+		body: a.Body, repeatKey: a.repeatKey, earliestArrival: a.earliest, arrival: a.latest,
+		deadline: l.explicitDeadline(a)}
 	if r.deadline == 0 {
 		r.deadline = a.latest + l.settings.Deployment.Handlers[a.handler].Timeout
 	}
@@ -277,13 +278,13 @@
 	slices.SortStableFunc(arrived, func(a, b admission.Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	for i := range arrived {
 		q := &arrived[i]
-		key := in.requests.get(handle(q.ID)).key
+		key := in.requests.get(handle(q.ID)).repeatKey
 		if key == "" {
 			continue
 		}
 		q.PreviousID = in.idempotency.previous(key, in.requests.get(handle(q.ID)).earliestArrival)
 		for k := 0; k < i && q.PreviousID == 0; k++ {
-			if in.requests.get(handle(arrived[k].ID)).key == key {
+			if in.requests.get(handle(arrived[k].ID)).repeatKey == key {
 				q.PreviousID = arrived[k].ID
 			}
 		}
--- a/internal/node/server/result_attempt.go
+++ b/internal/node/server/result_attempt.go
@@ -17,7 +17,7 @@
 // would get each other's result.
 func newKeyedRequest(handler string, tenant, key, body []byte) *keyedRequest {
 	q := &keyedRequest{}
-	q.key = digestKey(fmt.Appendf(nil, "tenant/%d/%s/%d/%s/%s", len(handler), handler, len(tenant), tenant, key))
+	q.resultKey = digestKey(fmt.Appendf(nil, "tenant/%d/%s/%d/%s/%s", len(handler), handler, len(tenant), tenant, key))
 	q.legacyKey = digestKey(fmt.Appendf(nil, "%d/%s/%s", len(handler), handler, key))
 	sum := sha256.Sum256(body)
 	q.bodyDigest = max(1, binary.LittleEndian.Uint64(sum[:])) // 0 means none
@@ -88,7 +88,7 @@
 // an error, as its first attempt may have run.
 func (k *resultKeeper) decide(q *keyedRequest) (verdict resultstore.Verdict, position uint64) {
 	now := k.clock()
-	verdict, position = k.index.Decide(now, q.key, q.bodyDigest)
+	verdict, position = k.index.Decide(now, q.resultKey, q.bodyDigest)
 	if verdict == resultstore.Execute && k.index.Lookup(now, q.legacyKey) != resultstore.Unknown {
 		verdict, position = k.index.Decide(now, q.legacyKey, q.bodyDigest)
 	}
@@ -109,7 +109,7 @@
 	}
 	r.setDisk(openingPending)
 	k.waiting = append(k.waiting, h)
-	k.host.setResultTimer(min(k.host.currentTime()+maxOpeningWait, k.responseDeadline(r)), h)
+	k.host.setResultTimer(min(k.host.currentTime()+maxOpeningWait, k.diskWaitEnd(r)), h)
 	return 0
 }
 
@@ -135,12 +135,12 @@
 	return wire.StatusInternalServerError
 }
 
-// responseDeadline returns the latest time to answer a request that waits for the disk: responseMargin before its
+// diskWaitEnd returns the latest time to answer a request that waits for the disk: responseMargin before its
 // deadline, or before the end of a drain.
-func (k *resultKeeper) responseDeadline(r *request) admission.Time {
+func (k *resultKeeper) diskWaitEnd(r *request) admission.Time {
 	at := r.deadline
-	if answerBy, draining := k.host.drainDeadline(); draining {
-		at = min(at, answerBy)
+	if responseDeadline, draining := k.host.drainDeadline(); draining {
+		at = min(at, responseDeadline)
 	}
 	return at - responseMargin
 }
@@ -159,7 +159,7 @@
 		return k.fail()
 	}
 	r.setDisk(readPending)
-	k.host.setResultTimer(k.responseDeadline(r), h)
+	k.host.setResultTimer(k.diskWaitEnd(r), h)
 	return 0
 }
 
@@ -211,7 +211,7 @@
 	}
 	k.host.forEachRequest(func(h handle, r *request) {
 		if r.disk != nothingPending && !r.isAnswered() {
-			k.host.setResultTimer(k.responseDeadline(r), h)
+			k.host.setResultTimer(k.diskWaitEnd(r), h)
 		}
 	})
 }
--- a/internal/node/server/result_host.go
+++ b/internal/node/server/result_host.go
@@ -29,7 +29,7 @@
 
 func (t *loopTime) currentTime() admission.Time { return t.now }
 
-func (l *loop) drainDeadline() (answerBy admission.Time, draining bool) {
+func (l *loop) drainDeadline() (responseDeadline admission.Time, draining bool) {
 	return l.responseDeadline, l.draining
 }
 
@@ -56,7 +56,7 @@
 // hasSharedResult reports whether the result of a request's key is in memory or will be, so that the controller can
 // answer the request from it.
 func (in *inFlightRequests) hasSharedResult(r *request) bool {
-	e := in.idempotency.find(r.key)
+	e := in.idempotency.find(r.repeatKey)
 	return e != nil && r.earliestArrival < e.expiresAt && (e.hasResult || e.state < entryDone)
 }
 
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -68,7 +68,7 @@
 // keyedRequest is the result keeper's part of a request with an idempotency key. It belongs to the request and is used
 // by the loop's goroutine alone.
 type keyedRequest struct {
-	key resultstore.Key
+	resultKey resultstore.Key
 	// legacyKey is the key as written by versions that did not include the tenant. Guards against a second run of a key
 	// that such a version ran, within its window.
 	legacyKey     resultstore.Key
@@ -82,7 +82,7 @@
 type resultHost interface {
 	runOnLoop(f func()) // queues f to be called by the loop's goroutine
 	currentTime() admission.Time
-	drainDeadline() (answerBy admission.Time, draining bool)
+	drainDeadline() (responseDeadline admission.Time, draining bool)
 	setResultTimer(at admission.Time, h handle) // has answerOverdue called at that time
 	platform() *settings.Startup
 	requestByHandle(h handle) *request
--- a/internal/node/server/result_keeper_test.go
+++ b/internal/node/server/result_keeper_test.go
@@ -123,7 +123,7 @@
 		t.Errorf("request %+v, run ends %v, want it finished and not executed", r, l.nextRound().RunEnds)
 	}
 	l.awaitDisk(t) // the record that closes the intent
-	if s := l.results.index.Lookup(bootTime(), r.keyed.key); s != resultstore.Unknown || l.results.mode != modeReady {
+	if s := l.results.index.Lookup(bootTime(), r.keyed.resultKey); s != resultstore.Unknown || l.results.mode != modeReady {
 		t.Errorf("key %s, mode %s afterwards, want %s, %s", s, l.results.mode, resultstore.Unknown, modeReady)
 	}
 }
@@ -146,9 +146,9 @@
 	}
 	l.awaitDisk(t)
 	if l.counters.Failed != 1 || l.counters.Succeeded != 0 || l.results.index.Lookup(bootTime(),
-		r.keyed.key) != resultstore.Indeterminate {
+		r.keyed.resultKey) != resultstore.Indeterminate {
 		t.Errorf("failed %d, succeeded %d, key %s, want 1, 0, %s", l.counters.Failed, l.counters.Succeeded,
-			l.results.index.Lookup(bootTime(), r.keyed.key), resultstore.Indeterminate)
+			l.results.index.Lookup(bootTime(), r.keyed.resultKey), resultstore.Indeterminate)
 	}
 	h2, other := l.newKeyedRun("new")
 	if l.results.intercept(h2, other); l.results.mode != modeFailed || l.counters.Rejected != 1 {
@@ -200,8 +200,8 @@
 	if l.counters.Succeeded+l.counters.Failed != 1 {
 		t.Errorf("%d responses, want 1", l.counters.Succeeded+l.counters.Failed)
 	}
-	if l.results.index.Lookup(bootTime(), r.keyed.key) != resultstore.Completed {
-		t.Errorf("key %s although its result is durable, want %s", l.results.index.Lookup(bootTime(), r.keyed.key),
+	if l.results.index.Lookup(bootTime(), r.keyed.resultKey) != resultstore.Completed {
+		t.Errorf("key %s although its result is durable, want %s", l.results.index.Lookup(bootTime(), r.keyed.resultKey),
 			resultstore.Completed)
 	}
 }
@@ -258,7 +258,7 @@
 	h, r := l.newKeyedRun("a")
 	l.results.begin(h, r)
 	l.awaitDisk(t)
-	first := l.results.index.Lookup(bootTime(), r.keyed.key)
+	first := l.results.index.Lookup(bootTime(), r.keyed.resultKey)
 	for _, c := range []struct {
 		body             string
 		rejected, failed uint64
@@ -270,7 +270,7 @@
 			t.Errorf("body %q: run command %d, run state %v, rejected %d, failed %d, want 0, %v, %d, %d", c.body,
 				r.runCommand, r.run, l.counters.Rejected, l.counters.Failed, runFinished, c.rejected, c.failed)
 		}
-		if got := l.results.index.Lookup(bootTime(), r.keyed.key); got != first || got != resultstore.Running {
+		if got := l.results.index.Lookup(bootTime(), r.keyed.resultKey); got != first || got != resultstore.Running {
 			t.Errorf("body %q: key of the first attempt is %s, was %s, want %s", c.body, got, first, resultstore.Running)
 		}
 	}
@@ -285,7 +285,7 @@
 func TestKeysAreSeparateByTenant(t *testing.T) {
 	l := loopWithStore(t, &blockingDisk{FS: wal.NewMemFS()})
 	begin := func(q *keyedRequest) {
-		l.results.index.Begin(bootTime(), q.key, q.bodyDigest, 60_000)
+		l.results.index.Begin(bootTime(), q.resultKey, q.bodyDigest, 60_000)
 	}
 	verdict := func(tenant, key string) resultstore.Verdict {
 		v, _ := l.results.decide(newKeyedRequest("put", []byte(tenant), []byte(key), []byte("body")))
@@ -302,7 +302,7 @@
 		t.Errorf("no tenant: verdict %s, want %s", got, resultstore.Execute)
 	}
 	legacy := newKeyedRequest("put", nil, []byte("b"), []byte("body"))
-	legacy.key = digestKey([]byte("3/put/b")) // the form of a legacy key
+	legacy.resultKey = digestKey([]byte("3/put/b")) // the form of a legacy key
 	begin(legacy)
 	if got := verdict("home", "b"); got != resultstore.WaitForResult {
 		t.Errorf("legacy key: verdict %s, want %s", got, resultstore.WaitForResult)
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -36,7 +36,7 @@
 	default: // another attempt runs, ran or may have run, and the controller no longer knows it
 		response.Status = k.fail()
 	}
-	k.endUnstarted(h, r, response)
+	k.answerAndEndUnstarted(h, r, response)
 }
 
 // writeIntent queues the intent record for the disk. It returns false if the queue is full.
@@ -44,7 +44,7 @@
 	q := r.keyed
 	k.faults.reach(faultBeforeIntent)
 	window := windowOf(&k.host.platform().Deployment.Handlers[r.handler])
-	intent := k.index.Begin(k.clock(), q.key, q.bodyDigest, window)
+	intent := k.index.Begin(k.clock(), q.resultKey, q.bodyDigest, window)
 	r.setDisk(intentPending)
 	if !k.write(intent, func(err error) { k.intentWritten(h, err) }) {
 		r.setDisk(nothingPending)
@@ -57,8 +57,8 @@
 	return true
 }
 
-// endUnstarted answers a request and ends its run, which was not sent to the kernel.
-func (k *resultKeeper) endUnstarted(h handle, r *request, response wire.Response) {
+// answerAndEndUnstarted answers a request and ends its run, which was not sent to the kernel.
+func (k *resultKeeper) answerAndEndUnstarted(h handle, r *request, response wire.Response) {
 	k.host.answer(h, r, response)
 	k.host.endUnstarted(h, r)
 }
@@ -74,12 +74,12 @@
 	if err != nil {
 		response := wire.Response{}
 		response.Status = k.reject(&response)
-		k.endUnstarted(h, r, response)
+		k.answerAndEndUnstarted(h, r, response)
 		return
 	}
 	r.keyed.intentDurable = true
 	if r.isAnswered() {
-		k.endUnstarted(h, r, wire.Response{Status: wire.StatusInternalServerError})
+		k.answerAndEndUnstarted(h, r, wire.Response{Status: wire.StatusInternalServerError})
 		return
 	}
 	k.faults.reach(faultIntentDurable)
@@ -96,7 +96,7 @@
 	if !r.keyed.intentDurable { // this attempt did not run, but another of its key may
 		return false
 	}
-	now, key := k.clock(), r.keyed.key
+	now, key := k.clock(), r.keyed.resultKey
 	switch outcome {
 	case admission.NotExecuted, admission.Superseded: // did not run
 		if record, ok := k.index.MarkNotExecuted(now, key); ok {
@@ -117,7 +117,7 @@
 // run: the response then must not carry a result, which a retry would not get.
 func (k *resultKeeper) storeResult(h handle, r *request, result []byte) bool {
 	k.faults.reach(faultRunEnded)
-	record, ok := k.index.MarkExecuted(k.clock(), r.keyed.key, true, result)
+	record, ok := k.index.MarkExecuted(k.clock(), r.keyed.resultKey, true, result)
 	if !ok {
 		return false
 	}
@@ -127,23 +127,23 @@
 				logging.MaxBytes: k.config.MaxResultBytes}).Info(logResultTooLarge)
 		}
 	}
-	sharedKey := r.key
+	repeatKey := r.repeatKey
 	if !k.write(record, func(err error) {
 		k.faults.reach(faultResultDurable)
-		k.resultWritten(h, sharedKey, err == nil && record.Kind == resultstore.Result, record.Result)
+		k.resultWritten(h, repeatKey, err == nil && record.Kind == resultstore.Result, record.Result)
 		k.faults.reach(faultAnswered)
 	}) {
 		return false
 	}
 	if r.setDisk(resultPending); k.guardDisabled(guardResult) {
-		k.resultWritten(h, sharedKey, true, record.Result)
+		k.resultWritten(h, repeatKey, true, record.Result)
 	}
-	k.host.setResultTimer(k.responseDeadline(r), h)
+	k.host.setResultTimer(k.diskWaitEnd(r), h)
 	return true
 }
 
 // resultWritten answers a request, and those that wait for its result, with the durable result or an error.
-func (k *resultKeeper) resultWritten(h handle, sharedKey string, durable bool, result []byte) {
+func (k *resultKeeper) resultWritten(h handle, repeatKey string, durable bool, result []byte) {
 	if r := k.host.requestByHandle(h); r != nil && r.disk == resultPending {
 		r.setDisk(nothingPending)
 		if durable {
@@ -152,5 +152,5 @@
 			k.host.answer(h, r, wire.Response{Status: wire.StatusInternalServerError})
 		}
 	}
-	k.host.completeWaiters(h, sharedKey, durable, result)
+	k.host.completeWaiters(h, repeatKey, durable, result)
 }
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -89,7 +89,7 @@
 		loopTime:         loopTime{timer: time.NewTimer(time.Hour)},
 		logLimit:         logLimit{debug: log.IsLevelEnabled(logrus.DebugLevel)},
 		readiness:        readiness{ready: true, controllerReady: true},
-		inFlightRequests: newRequestsInHand(limits, longestTimeout),
+		inFlightRequests: newInFlightRequests(limits, longestTimeout),
 		clients:          newClients(limits, c.settings.IdleTimeout),
 		upstreams:        newUpstreams(c, limits),
 		drainState:       drainState{killDelay: admission.Time(c.StopMS) * (admission.Second / 1000)},
@@ -101,7 +101,7 @@
 	return l
 }
 
-func newRequestsInHand(limits Limits, longestTimeout admission.Time) inFlightRequests {
+func newInFlightRequests(limits Limits, longestTimeout admission.Time) inFlightRequests {
 	return inFlightRequests{requests: newTable[request](limits.Requests), byRequestID: map[string]handle{},
 		idempotency: newIdempotencyTable(limits.IdempotencyKeys, limits.ResultBytes, longestTimeout)}
 }
--- a/internal/node/server/tables_test.go
+++ b/internal/node/server/tables_test.go
@@ -191,7 +191,7 @@
 	var arrived []admission.Request
 	for i, arrival := range []admission.Time{30, 10, 20, 10, 15} {
 		h, r, _ := l.requests.take()
-		r.key = []string{"a", "", "a", "b", "b"}[i]
+		r.repeatKey = []string{"a", "", "a", "b", "b"}[i]
 		arrived = append(arrived, admission.Request{ID: uint32(h), ArrivedAt: arrival})
 	}
 	ids := []uint32{arrived[1].ID, arrived[3].ID, arrived[4].ID, arrived[2].ID, arrived[0].ID}
