--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -40,7 +40,7 @@
 
 func readControl(t *Text) (*Control, error) {
 	c := &Control{
-		Name:           t.Required("instance", "name", "a name of letters, digits, '-' and '_'"),
+		Name:           t.Required("instance", "name", "a name of letters, digits, '-', '_' and '.'"),
 		Data:           t.Required("instance", "data", "a folder for log and snapshots"),
 		Start:          t.Choice("instance", "start", "new", "new", "join"),
 		Peer:           t.Address("instance", "peer", "127.0.0.1:7101"),
@@ -60,7 +60,7 @@
 	}
 	c.Bind = t.Address("instance", "bind", c.Peer)
 	if c.Name != "" && !IsName(c.Name) {
-		t.AddFault("instance", "name", strconv.Quote(truncate(c.Name)), "up to 40 letters, digits, '-' and '_'")
+		t.AddFault("instance", "name", strconv.Quote(truncate(c.Name)), "up to 40 letters, digits, '-', '_' and '.'")
 	}
 	if c.Peer == c.Listen || c.Bind == c.Listen {
 		t.AddFault("instance", "listen", strconv.Quote(c.Listen)+", the peers' address", "a different address")
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"fmt"
 	"os"
 	"slices"
 	"strconv"
@@ -32,7 +33,8 @@
 		Zone: t.Required("fleet", "zone", "the zone this node is in"), Folder: t.String("fleet", "folder", ""),
 		AdvertiseAddress: t.String("fleet", "at", "")}
 	if len(f.ControlAddresses) == 0 || len(f.ControlAddresses) > maxControlAddresses {
-		t.AddFault("fleet", "control", strconv.Itoa(len(f.ControlAddresses))+" addresses", "1 to 15 of IP:PORT, separated by commas")
+		t.AddFault("fleet", "control", strconv.Itoa(len(f.ControlAddresses))+" addresses",
+			fmt.Sprintf("1 to %d of IP:PORT, separated by commas", maxControlAddresses))
 	}
 	for _, address := range f.ControlAddresses {
 		if !IsIPPort(address) {
--- a/internal/node/resultstore/table.go
+++ b/internal/node/resultstore/table.go
@@ -59,7 +59,7 @@
 // newTable returns a table with an initial capacity, within minTableKeys and maxTableKeys.
 func newTable(keys int) table {
 	keys = min(max(keys, minTableKeys), maxTableKeys)
-	return table{slots: make([]entry, keys+keys/maxLoadNumerator+1)}
+	return table{slots: make([]entry, keys*maxLoadDenominator/maxLoadNumerator+1)}
 }
 
 // homeSlot returns the slot at which the search for a key starts.
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -70,7 +70,8 @@
 // activates policy versions, stores the node's record, and rejects requests while the node is fenced or over its zone's
 // quota. internal/node/agent decides on lease and versions, internal/node/zonegate on quotas. Only the loop's goroutine
 // uses it; goroutines for network, disk and trials return their results through runOnLoop. Without [fleet] in the
-// operator's file it is nil, and the methods called for each request do nothing.
+// operator's file it is nil, and the methods called for each request do nothing. Service discovery is another peer
+// (discovery_link.go).
 type fleetAgent struct {
 	host   fleetHost
 	clock  steadyClock
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -115,13 +115,13 @@
 		return nil, err
 	}
 	if s.size > maxSegmentBytes {
-		return nil, &Damage{s.name, 0, "the header",
+		return nil, &Damage{s.name, 0, "the file",
 			fmt.Sprintf("%d bytes, expected at most %d", s.size, maxSegmentBytes)}
 	}
 	raw := make([]byte, s.size)
 	if s.size > 0 {
 		if _, err = s.file.ReadAt(raw, 0); err != nil {
-			return nil, &Damage{s.name, 0, "the header", err.Error()}
+			return nil, &Damage{s.name, 0, "the file", err.Error()}
 		}
 	}
 	return raw, nil
