--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,13 +1,14 @@
 package config
 
 import (
+	"fmt"
 	"os"
 	"slices"
 	"strconv"
 	"strings"
 )
 
-// Fleet holds the [fleet] section of a node's settings file. A node without it has no control service.
+// Fleet holds the [fleet] section of the operator's file of a node. A node without it has no control service.
 type Fleet struct {
 	ControlAddresses []string // client addresses of control instances
 	Name             string   // name of the node; empty for the platform's
@@ -33,7 +34,7 @@
 		AdvertiseAddress: t.String("fleet", "at", "")}
 	if len(f.ControlAddresses) == 0 || len(f.ControlAddresses) > maxControlAddresses {
 		t.AddFault("fleet", "control", strconv.Itoa(len(f.ControlAddresses))+" addresses",
-			"1 to 15 of IP:PORT, separated by commas")
+			fmt.Sprintf("1 to %d of IP:PORT, separated by commas", maxControlAddresses))
 	}
 	for _, address := range f.ControlAddresses {
 		if !IsIPPort(address) {
--- a/internal/node/resultstore/table.go
+++ b/internal/node/resultstore/table.go
@@ -20,8 +20,8 @@
 )
 
 // table is a hash table with open addressing and linear probing. Keys are digests, so a prefix is their hash. Removal
-// shifts later keys back instead of leaving tombstones. The table is allocated at the size of its limit, so that it
-// does not grow while a node serves; unused pages take no memory.
+// shifts later keys back instead of leaving tombstones. The table is allocated for its limit of keys, up to
+// maxTableKeys, so that it does not grow while a node serves; unused pages take no memory.
 type table struct {
 	slots []entry
 	count int // used slots
@@ -59,7 +59,7 @@
 // newTable returns a table with an initial capacity, within minTableKeys and maxTableKeys.
 func newTable(keys int) table {
 	keys = min(max(keys, minTableKeys), maxTableKeys)
-	return table{slots: make([]entry, keys+keys/maxLoadNumerator+1)}
+	return table{slots: make([]entry, keys*maxLoadDenominator/maxLoadNumerator+1)}
 }
 
 // homeSlot returns the slot at which the search for a key starts.
--- a/internal/node/server/fleet_agent.go
+++ b/internal/node/server/fleet_agent.go
@@ -52,9 +52,9 @@
 	runOnLoop(f func())                  // queues f to be called by the loop's goroutine
 	setFleetTimer(in agent.Milliseconds) // has tick called after this time at the latest
 	refreshReadiness()                   // updates health checks and service discovery
-	rejectQueued()                       // rejects the requests that never ran
+	rejectQueued()                       // rejects the requests whose run has not started
 	activate(version *overlay.Settings)  // switches the controller to a policy version
-	runsInFlight() int                   // runs that the kernel executes
+	runsInFlight() int                   // started runs, sent to the kernel or not
 	kernelConnected() bool               // the kernel link is live
 	poolsEnabled() bool                  // run slots are divided among handlers
 	isDraining() bool                    // the process is shutting down
@@ -70,7 +70,8 @@
 // activates policy versions, stores the node's record, and rejects requests while the node is fenced or over its zone's
 // quota. internal/node/agent decides on lease and versions, internal/node/zonegate on quotas. Only the loop's goroutine
 // uses it; goroutines for network, disk and trials return their results through runOnLoop. Without [fleet] in the
-// operator's file it is nil, and the methods called for each request do nothing.
+// operator's file it is nil, and the methods called for each request do nothing. Service discovery is another peer
+// (discovery_link.go).
 type fleetAgent struct {
 	host   fleetHost
 	clock  steadyClock
--- a/internal/node/server/result_keeper.go
+++ b/internal/node/server/result_keeper.go
@@ -38,7 +38,7 @@
 	modeReady   storeMode = "well"
 	modeFailed  storeMode = "failed"  // the disk fails, or the folder can't be opened
 	modeStalled storeMode = "stalled" // a record has waited for the disk longer than stallLimit
-	modeFull    storeMode = "full"    // no room, or a record was lost
+	modeFull    storeMode = "full"    // within fullBackoff a key found no room, or a write failed
 )
 
 const (
@@ -69,7 +69,7 @@
 // keyedRequest is the result keeper's part of a request with an idempotency key. It belongs to the request and is used
 // by the loop's goroutine alone.
 type keyedRequest struct {
-	key resultstore.Key
+	resultKey resultstore.Key
 	// legacyKey is the key as written by versions that did not include the tenant. Guards against a second run of a key
 	// that such a version ran, within its window.
 	legacyKey     resultstore.Key
@@ -83,7 +83,7 @@
 type resultHost interface {
 	runOnLoop(f func()) // queues f to be called by the loop's goroutine
 	currentTime() admission.Time
-	drainDeadline() (answerBy admission.Time, draining bool)
+	drainDeadline() (responseDeadline admission.Time, draining bool)
 	setResultTimer(at admission.Time, h handle) // has answerOverdue called at that time
 	platform() *settings.Startup
 	requestByHandle(h handle) *request
@@ -126,7 +126,7 @@
 	pendingSince []admission.Time // when each record that waits for the disk was queued, oldest first
 	nextPosition uint64           // lower bound of the position of the log's next record
 	releasing    bool             // expired records are being deleted
-	fullSince    admission.Time   // time of the last rejection for lack of room or of the last lost record; 0: none
+	fullSince    admission.Time   // last attempt rejected for lack of room, or last failed write; 0: none
 	openError    error            // why the folder can't be opened
 	mode         storeMode
 	retryTimes   retryafter.Spreader
--- a/internal/node/server/run.go
+++ b/internal/node/server/run.go
@@ -18,8 +18,7 @@
 	// heapShareTenths is the Go heap's share of the memory limit, in tenths: the rest is for stacks, kernel memory of
 	// the process, and peaks between collections.
 	heapShareTenths = 6
-	// gcPercent halves the usual heap growth between collections, which keeps the memory in use level; the live heap is
-	// a few MB, so that collections are cheap.
+	// gcPercent halves the usual heap growth between collections, which keeps the memory in use level.
 	gcPercent = 50
 	// minIdleTimeout is the minimum of the settings' idle timeout, of which the double applies until the controller
 	// sets one.
@@ -90,7 +89,7 @@
 		loopTime:         loopTime{timer: time.NewTimer(time.Hour)},
 		logLimit:         logLimit{debug: log.IsLevelEnabled(logrus.DebugLevel)},
 		readiness:        readiness{ready: true, controllerReady: true},
-		inFlightRequests: newRequestsInHand(limits, longestTimeout),
+		inFlightRequests: newInFlightRequests(limits, longestTimeout),
 		clients:          newClients(limits, c.settings.IdleTimeout),
 		upstreams:        newUpstreams(c, limits),
 		drainState:       drainState{killDelay: admission.Time(c.StopMS) * (admission.Second / 1000)},
@@ -102,7 +101,7 @@
 	return l
 }
 
-func newRequestsInHand(limits Limits, longestTimeout admission.Time) inFlightRequests {
+func newInFlightRequests(limits Limits, longestTimeout admission.Time) inFlightRequests {
 	return inFlightRequests{requests: newTable[request](limits.Requests), byRequestID: map[string]handle{},
 		idempotency: newIdempotencyTable(limits.IdempotencyKeys, limits.ResultBytes, longestTimeout)}
 }
