--- a/cmd/umberwinch/main.go
+++ b/cmd/umberwinch/main.go
@@ -25,8 +25,8 @@
 
 func main() {
 	signals := server.NotifySignals(syscall.SIGTERM, syscall.SIGUSR1, syscall.SIGHUP)
-	// A log reader that has closed its pipe must not end the server: see row "write to the log: stands still, EPIPE"
-	// in docs/design/failures.md.
+	// A log reader that has closed its pipe must not end the server: see row "write to the log: blocks, EPIPE" in
+	// docs/design/failures.md.
 	signal.Ignore(syscall.SIGPIPE)
 	signals.ReadConfig = func() (*server.StartupFile, error) { return server.ReadConfig(os.Getenv) }
 	node, err := signals.ReadConfig()
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -9,7 +9,7 @@
 
 // Writer writes lines on its own goroutine, so that a log reader that stalls, such as a full pipe, does not stall the
 // process. Lines that don't fit its queue are dropped, and a line in their place gives their number. See row "write to
-// the log: stands still, EPIPE" in docs/design/failures.md.
+// the log: blocks, EPIPE" in docs/design/failures.md.
 type Writer struct {
 	out     io.Writer
 	queue   chan []byte
--- a/internal/node/server/client_connections.go
+++ b/internal/node/server/client_connections.go
@@ -75,7 +75,7 @@
 	})
 	if !nc.IsActive() {
 		// The connection may have ended before its close callback was set, and the loop would never see it end: Close
-		// runs the callback now, once. See row "connection that ends as it is set up" in docs/design/shutdown.md.
+		// runs the callback now, once. See row "connection that ends during its setup" in docs/design/shutdown.md.
 		_ = nc.Close()
 	}
 }
@@ -98,7 +98,7 @@
 // evict closes idle connections while more than EvictionThreshold are open, so that clients that hold connections
 // without using them don't keep others from being accepted. Connections without a complete message go first, oldest
 // first, then those with health checks only, then the rest, longest idle first. The listener's limit is above
-// EvictionThreshold. A request that crosses such a close is sent again by its client. See row "eviction for room" in
+// EvictionThreshold. A request that crosses such a close is sent again by its client. See row "eviction" in
 // docs/design/shutdown.md.
 func (l *loop) evict() {
 	l.closeLingering()
@@ -117,7 +117,7 @@
 
 // closeLingering closes connections that were shut down at least InFlightGrace ago, while all slots are taken.
 // Otherwise clients that never close would keep new connections waiting for LingerTimeout; whatever crossed the
-// shutdown has arrived by InFlightGrace. See row "many connections that linger" in docs/design/shutdown.md.
+// shutdown has arrived by InFlightGrace. See row "many lingering connections" in docs/design/shutdown.md.
 func (l *loop) closeLingering() {
 	if l.connections.used < l.limits.Connections {
 		return
@@ -193,7 +193,7 @@
 
 // sweep closes connections that their client should have closed, that stay in the middle of a message, or that exceed
 // the idle timeout. A late sweep is skipped: after a standstill of this process connections look idle whose input is
-// still unread, and closing them would leave requests without a response. See row "standstill of this process" in
+// still unread, and closing them would leave requests without a response. See row "pause of this process" in
 // docs/design/shutdown.md.
 func (l *loop) sweep(due admission.Time) {
 	if l.now-due >= l.limits.SweepInterval {
@@ -253,8 +253,8 @@
 }
 
 // connectionClosed removes a connection that has ended for any reason. A request whose response was to go out on it is
-// abandoned: see row "client gone" in docs/design/shutdown.md and row "read: ECONNRESET, ETIMEDOUT, EHOSTUNREACH,
-// EPIPE, end" in docs/design/failures.md.
+// abandoned: see row "client disconnected" in docs/design/shutdown.md and row "read: ECONNRESET, ETIMEDOUT,
+// EHOSTUNREACH, EPIPE, end" in docs/design/failures.md.
 func (l *loop) connectionClosed(p *peer) {
 	if l.listener != nil {
 		l.listener.releaseSlot() // the table's slot is free by the next event
--- a/internal/node/server/client_peer.go
+++ b/internal/node/server/client_peer.go
@@ -89,7 +89,7 @@
 }
 
 // parse reads one request. A client that pipelines without reading responses would fill the queue; as netpoll keeps
-// reading, the only effective limit is to end the connection. See row "bad input" in docs/design/shutdown.md.
+// reading, the only effective limit is to end the connection. See row "invalid input" in docs/design/shutdown.md.
 func (p *peer) parse(b *buffer, limits *Limits) (event, int, error) {
 	e := &b.request
 	e.peer, e.buffer = p, b
@@ -125,8 +125,8 @@
 }
 
 // discard skips input after the seal and reports once that it has exceeded the limit, so that the loop closes the
-// connection; an endless body would occupy a core. See rows "the same, and the client goes on" and "endless input" in
-// docs/design/shutdown.md.
+// connection; an endless body would occupy a core. See rows "the same, and the client continues to send" and "endless
+// input" in docs/design/shutdown.md.
 func (p *peer) discard(r netpoll.Reader, limit int) (exceeded bool) {
 	n := r.Len()
 	_ = r.Skip(n) // n bytes are available
@@ -168,8 +168,8 @@
 }
 
 // shutDownWrite shuts down the sending side: the client reads the end of the stream after the last response. A plain
-// close with unread bytes would send a reset, which could discard that response. See row "answer that closes (client's
-// wish, bad input, a run that the kernel does not take up)" in docs/design/shutdown.md.
+// close with unread bytes would send a reset, which could discard that response. See row "response that closes
+// (client's request, invalid input, a run that the kernel rejects)" in docs/design/shutdown.md.
 func (p *peer) shutDownWrite() {
 	p.inputMu.Lock()
 	defer p.inputMu.Unlock()
--- a/internal/node/server/discovery_link.go
+++ b/internal/node/server/discovery_link.go
@@ -27,7 +27,7 @@
 	if c.reportOutstanding {
 		// Guards against matching a late response to the wrong report: the next report is sent on a new link, without
 		// backoff, as this happens only when a report is due or readiness changes. See row "discovery: report
-		// unanswered, half answered, refused, link cut" in docs/design/shutdown.md.
+		// unanswered, partly answered, refused, link broken" in docs/design/shutdown.md.
 		l.closeLink(&c.link, nil)
 		return
 	}
--- a/internal/node/server/drain.go
+++ b/internal/node/server/drain.go
@@ -26,8 +26,8 @@
 	drainCheckInterval = admission.Second / 100
 )
 
-// startDrain starts the drain, whatever is in progress: see rows "notice: half a request, a held one, a repeat that
-// waits, one on a resting connection" and "notice while the process is stopped" in docs/design/shutdown.md.
+// startDrain starts the drain, whatever is in progress: see rows "SIGTERM: an incomplete request, a queued one, a
+// waiting repeat, one on an idle connection" and "SIGTERM while the process is stopped" in docs/design/shutdown.md.
 func (l *loop) startDrain() {
 	if l.draining {
 		return
@@ -43,7 +43,7 @@
 
 // drainTick checks whether clients have stopped sending or the kill is near. If so, it stops the listener and closes
 // idle connections; requests that cross the close are still answered. The listener stays open until then, as clients
-// learn late that this node leaves. See rows "drain's end" and "kill near" in docs/design/shutdown.md.
+// learn late that this node leaves. See rows "end of the drain" and "kill near" in docs/design/shutdown.md.
 func (l *loop) drainTick() {
 	closeBy := l.responseDeadline - finalCloseMargin
 	quiet := l.now-max(l.lastRequest, l.drainStartedAt) >= l.limits.DrainQuietPeriod &&
--- a/internal/node/server/guards_test.go
+++ b/internal/node/server/guards_test.go
@@ -82,10 +82,10 @@
 	}
 	// Rows handled by netpoll itself or by package admission.
 	elsewhere := map[string]bool{
-		failuresPage + " read: EINTR, EAGAIN":                        true,
-		failuresPage + " epoll_wait: EINTR":                          true,
-		shutdownPage + " slow start, also a second within the first": true,
-		shutdownPage + " request with a few ms left":                 true,
+		failuresPage + " read: EINTR, EAGAIN":                     true,
+		failuresPage + " epoll_wait: EINTR":                       true,
+		shutdownPage + " warm-up, also a second within the first": true,
+		shutdownPage + " request with a few ms left":              true,
 	}
 	for page := range rows {
 		for name := range rows[page] {
--- a/internal/node/server/idempotency_table.go
+++ b/internal/node/server/idempotency_table.go
@@ -103,7 +103,7 @@
 }
 
 // expire removes an entry whose time is over, or sets its timer again. An entry outlives its time by maxLateness: a
-// repeat that arrived in time and is read late would run otherwise. See row "keyed entry over" in
+// repeat that arrived in time and is read late would run otherwise. See row "expired keyed entry" in
 // docs/design/shutdown.md.
 func (t *idempotencyTable) expire(h handle, now admission.Time, timers *timers) (waiters []handle) {
 	e := t.entries.get(h)
@@ -148,8 +148,8 @@
 // it.
 const maxResultOrderFactor = 4
 
-// dropOldestResults drops the oldest results while all results exceed maxResultBytes. Their keys stay: see row "kept
-// result let go of for room" in docs/design/shutdown.md.
+// dropOldestResults drops the oldest results while all results exceed maxResultBytes. Their keys stay: see row "result
+// dropped from memory" in docs/design/shutdown.md.
 func (t *idempotencyTable) dropOldestResults() {
 	for t.resultBytes > t.maxResultBytes || len(t.resultOrder) > maxResultOrderFactor*t.entries.capacity {
 		oldest := t.entries.get(t.resultOrder[0])
--- a/internal/node/server/kernel_link.go
+++ b/internal/node/server/kernel_link.go
@@ -63,8 +63,8 @@
 		return unsentCommand
 	}
 	if !k.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
-		// The link is closed after the round, and lost commands are resent on the next link. See row "link that takes
-		// nothing" in docs/design/shutdown.md.
+		// The link is closed after the round, and lost commands are resent on the next link. See row "link whose peer
+		// does not read" in docs/design/shutdown.md.
 		l.reconnectKernel = true
 		return unsentCommand
 	}
@@ -125,7 +125,7 @@
 }
 
 // gaugesTimedOut lets a wake-up proceed without gauges, unless a later request is outstanding. Guards against a kernel
-// that does not respond, which would keep the controller from waking up: see row "kernel that does not answer" in
+// that does not respond, which would keep the controller from waking up: see row "kernel that does not respond" in
 // docs/design/shutdown.md.
 func (l *loop) gaugesTimedOut() {
 	if l.now >= l.kernel.gaugesDeadline {
@@ -301,7 +301,7 @@
 
 // replayTimedOut closes the link if the replay, started by the gauges request with this number, does not end in time;
 // the link is then dialed again. Guards against starting a run twice: resending commands before all events are known
-// could restart a run that has ended. See row "kernel that does not answer" in docs/design/shutdown.md.
+// could restart a run that has ended. See row "kernel that does not respond" in docs/design/shutdown.md.
 func (l *loop) replayTimedOut(request handle) {
 	if k := &l.kernel; k.state == kernelReplaying && handle(k.replayRequest) == request {
 		l.closeLink(&k.link, errNoAnswer)
--- a/internal/node/server/links.go
+++ b/internal/node/server/links.go
@@ -127,7 +127,7 @@
 		})
 		if !c.IsActive() {
 			// The connection ended before its close callback was set: Close runs it now. See row "connection that ends
-			// as it is set up" in docs/design/shutdown.md.
+			// during its setup" in docs/design/shutdown.md.
 			_ = c.Close()
 		}
 	}()
@@ -142,7 +142,7 @@
 }
 
 // isCurrent reports whether a dial was not replaced. Guards against late events of a replaced dial, whose replies would
-// be taken for replies to calls that were made again. See row "dial that was replaced" in docs/design/shutdown.md.
+// be taken for replies to calls that were made again. See row "replaced dial" in docs/design/shutdown.md.
 func (u *upstreams) isCurrent(n *dialAttempt) bool {
 	if n.peer == peerStore {
 		c := u.store.connections.get(n.storeConn)
@@ -172,7 +172,7 @@
 }
 
 // linkClosed handles the end of a connection. If it is handled before linkDialed, the error is stored for linkDialed.
-// Guards against a closed link that counts as open for good. See row "connection that ends as it is set up" in
+// Guards against a closed link that counts as open for good. See row "connection that ends during its setup" in
 // docs/design/shutdown.md.
 func (l *loop) linkClosed(e *linkClosed) {
 	n := e.dialed
--- a/internal/node/server/listener.go
+++ b/internal/node/server/listener.go
@@ -81,8 +81,8 @@
 
 // run passes each accepted descriptor to onAccept until stop is called. Errors are retried: see rows "accept:
 // ECONNABORTED, EINTR" and "accept: any other" in docs/design/failures.md. Before it returns it accepts the connections
-// completed by then and closes the socket: a later connect is refused, which proves that nothing ran. See row "drain's
-// end" in docs/design/shutdown.md. warn gets the first of a series of errors.
+// completed by then and closes the socket: a later connect is refused, which proves that nothing ran. See row "end of
+// the drain" in docs/design/shutdown.md. warn gets the first of a series of errors.
 func (ln *listener) run(onAccept func(fd int), warn func(error)) {
 	var lastErr error
 	for {
--- a/internal/node/server/netpoll_log.go
+++ b/internal/node/server/netpoll_log.go
@@ -14,7 +14,7 @@
 const netpollLinesPerSecond = 5
 
 // netpollLog writes netpoll's log lines to the log, rate limited. Any goroutine may use it, until the process ends. It
-// never blocks: see row "log reader stands still, or is gone" in docs/design/shutdown.md.
+// never blocks: see row "log reader blocked or gone" in docs/design/shutdown.md.
 type netpollLog struct {
 	log    *logrus.Logger
 	clock  *clock.Clock
--- a/internal/node/server/record_file.go
+++ b/internal/node/server/record_file.go
@@ -18,7 +18,7 @@
 
 // writeRecordFile writes the record to a temporary file, syncs it, renames it and syncs the folder. Guards against a
 // crash during the write, after which the node would not know its active version: either the old or the new record is
-// complete. See row "process killed amid its record" in docs/design/shutdown.md.
+// complete. See row "process killed while it writes its record" in docs/design/shutdown.md.
 func writeRecordFile(folder string, record *agent.Record) error {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -47,8 +47,8 @@
 }
 
 // removeUnfinished removes the temporary files of writes that a kill interrupted. Guards against a folder that fills
-// with them. None is in use, as no other process writes to the folder. See row "process killed amid its record" in
-// docs/design/shutdown.md.
+// with them. None is in use, as no other process writes to the folder. See row "process killed while it writes its
+// record" in docs/design/shutdown.md.
 func removeUnfinished(folder string) error {
 	unfinished, err := filepath.Glob(filepath.Join(folder, recordFile+".*"))
 	for _, file := range unfinished {
--- a/internal/node/server/request.go
+++ b/internal/node/server/request.go
@@ -64,7 +64,8 @@
 }
 
 // runEnded handles the end of a run: its result is the response to the request and to its waiting repeats. The result
-// of a keyed run is kept for repeats even if the client is gone: see row "client gone" in docs/design/shutdown.md.
+// of a keyed run is kept for repeats even if the client is gone: see row "client disconnected" in
+// docs/design/shutdown.md.
 func (l *loop) runEnded(h handle, r *request, outcome admission.Outcome, elapsedMS float64, result []byte) {
 	if l.debug {
 		l.traceWith(r.id, traceRunEnded, logrus.Fields{logging.Outcome: outcomeNames[outcome],
--- a/internal/node/server/request_arrival.go
+++ b/internal/node/server/request_arrival.go
@@ -272,8 +272,7 @@
 
 // orderArrivals sorts the requests of a round by arrival, as callbacks post in any order, and links repeats to the
 // requests that they repeat. Attempts with one key that are read in one round, as after a standstill of the machine,
-// are not in the idempotency table yet; both would run. See row "standstill of this process" in
-// docs/design/shutdown.md.
+// are not in the idempotency table yet; both would run. See row "pause of this process" in docs/design/shutdown.md.
 func (in *inFlightRequests) orderArrivals(arrived []admission.Request) {
 	slices.SortStableFunc(arrived, func(a, b admission.Request) int { return cmp.Compare(a.ArrivedAt, b.ArrivedAt) })
 	for i := range arrived {
--- a/internal/node/server/result_run.go
+++ b/internal/node/server/result_run.go
@@ -13,8 +13,8 @@
 
 // begin writes the intent of a run that has its run slot; the run is sent to the kernel once the intent is durable. The
 // verdict on the key is looked up again, as another attempt may have run since this one arrived. Guards against a key
-// that runs again after a kill: whatever may have run has its intent on disk. See row "process killed with results
-// kept" in docs/design/shutdown.md.
+// that runs again after a kill: whatever may have run has its intent on disk. See row "process killed with stored
+// results" in docs/design/shutdown.md.
 func (k *resultKeeper) begin(h handle, r *request) {
 	q, verdict := r.keyed, resultstore.RejectFull
 	if !k.rejectsNewKeys(k.host.currentTime()) {
--- a/internal/node/server/store_connections.go
+++ b/internal/node/server/store_connections.go
@@ -130,7 +130,7 @@
 	l.scratch = wire.AppendCall(l.scratch[:0], r.id, wait, r.callBody)
 	if !c.dialed.writer.send(l.scratch, l.limits.LinkQueue) {
 		// The queue is full as the store does not read: this call was not sent, the others may have been. See row "link
-		// that takes nothing" in docs/design/shutdown.md.
+		// whose peer does not read" in docs/design/shutdown.md.
 		conn := r.storeConn
 		l.callEnded(h, r, admission.NotExecuted)
 		l.storeConnectionLost(conn, l.store.connections.get(conn), errStuck)
@@ -216,7 +216,7 @@
 }
 
 // callTimedOut ends a call without a reply at CallGrace after its deadline. Guards against a store that forgets a call:
-// the run would wait, and hold its run slot, until its request's deadline. See row "call that the store forgets" in
+// the run would wait, and hold its run slot, until its request's deadline. See row "call without a reply" in
 // docs/design/shutdown.md.
 func (l *loop) callTimedOut(h handle) {
 	r := l.requests.get(h)
@@ -247,7 +247,7 @@
 
 // storeConnectionLost ends every call on a connection that ended or could not be opened: calls that were sent as
 // unknown, those that waited for it to open as not executed. StoreConnectionsLost counts both kinds of connection. See
-// row "store connection broken, spoilt, idle" in docs/design/shutdown.md.
+// row "store connection broken, invalid, idle" in docs/design/shutdown.md.
 func (l *loop) storeConnectionLost(conn handle, c *storeConnection, err error) {
 	if c == nil {
 		return
--- a/internal/node/server/writer.go
+++ b/internal/node/server/writer.go
@@ -13,7 +13,7 @@
 // writer is the sending side of a connection. It never blocks its caller: bytes are queued, and flushed by a goroutine
 // that ends once the queue is empty. The writer owns the queued buffers, and the close of the connection if the loop
 // asks for it; it ends with finish, close or an error. The queue and the time of a flush are limited, so that a peer
-// that reads nothing holds up no others. See row "client that takes nothing" in docs/design/shutdown.md and row "write:
+// that reads nothing holds up no others. See row "client that does not read" in docs/design/shutdown.md and row "write:
 // EAGAIN, short" in docs/design/failures.md.
 type writer struct {
 	conn     netpoll.Connection
